--- a/Libraries/Entry/assembly_runner.cpp
+++ b/Libraries/Entry/assembly_runner.cpp
@@ -119,7 +119,7 @@
                 planTime = monotonicNow() - planStart;
             } else if (now >= nextTry) {
                 giveUpTerm();
-                if (!feed.isSourceHeard()) {
+                if (!feed.isSourceActive()) {
                     tryToCoordinate();
                     nextTry = monotonicNow() + pauseOfFollower;
                 }
@@ -410,7 +410,7 @@
         }
     }
 
-    void hearStall(const stall_notice &notice)
+    void hearStall(const stall_report &notice)
     {
         if (holdsTerm(monotonicNow())) {
             looks.lookAtGroup(notice.replica);
@@ -470,7 +470,7 @@
     d->planSoon();
 }
 
-void assembly_runner::hearStall(const stall_notice &notice)
+void assembly_runner::hearStall(const stall_report &notice)
 {
     d->hearStall(notice);
 }
--- a/Libraries/Entry/assembly_runner.h
+++ b/Libraries/Entry/assembly_runner.h
@@ -38,7 +38,7 @@
     /// A group's requests stand still. The coordinator looks at its members directly; other daemons pass it on.
     void noteStall(const instance_id &head);
     /// Another daemon tells of a group whose requests stand still.
-    void hearStall(const stall_notice &notice);
+    void hearStall(const stall_report &notice);
 
 private:
     struct private_data;
--- a/Libraries/Entry/configuration_reading.cpp
+++ b/Libraries/Entry/configuration_reading.cpp
@@ -26,7 +26,7 @@
     const std::lock_guard lock(mutex);
     const bool isAsked = std::exchange(mustReadConfiguration, false);
     const bool isCurrent = currentAt && monotonicNow() - *currentAt < readingLimit();
-    const bool isToldOfNone = !table && toldAt && monotonicNow() - *toldAt < timing.ownWatching;
+    const bool isToldOfNone = !table && toldAt && monotonicNow() - *toldAt < timing.directWatchDelay;
     return isSource || isAsked || !(isCurrent || isToldOfNone);
 }
 
@@ -36,7 +36,7 @@
     const auto now = monotonicNow();
     auto until = now + firstConfigurationPeriod;
     if (isKnown && isSource) {
-        until = now + timing.sourceReading;
+        until = now + timing.sourceReadPeriod;
     } else if (isKnown && currentAt) {
         until = std::max(now + retryPause, *currentAt + readingLimit());
     }
--- a/Libraries/Entry/crash_guard.cpp
+++ b/Libraries/Entry/crash_guard.cpp
@@ -27,7 +27,7 @@
         , pending(endCheck, [this](const pending_loss &loss) { noteEnd(loss); })
         , record(keyValue,
                  {[&peers] { return peers.isSource(); },
-                  [&peers] { return peers.isSourceHeard(); },
+                  [&peers] { return peers.isSourceActive(); },
                   [&shared](const std::vector<crash_evidence> &kept) { shared.takeKept(kept); },
                   [&shared] { return shared.refused(); }})
     {
--- a/Libraries/Entry/crash_record.cpp
+++ b/Libraries/Entry/crash_record.cpp
@@ -34,7 +34,7 @@
     json[writtenField] = Json::Int64(calendarNow);
     json[refusedField] = Json::Value(Json::arrayValue);
     for (const auto &evidence : notes.refused) {
-        json[refusedField].append(encodedEvidence(evidence));
+        json[refusedField].append(encodeSuspectReport(evidence));
     }
     return toJsonText(json);
 }
@@ -50,7 +50,7 @@
     // Clocks of the calendar differ: what seems to be written in the future was written just now.
     const duration since(std::max<std::int64_t>(0, calendarNow - static_cast<std::int64_t>(jsonNumber(*json, writtenField))));
     for (const auto &entry : jsonArray(*json, refusedField)) {
-        if (auto evidence = decodedEvidence(entry)) {
+        if (auto evidence = decodeSuspectReport(entry)) {
             evidence->age += since;
             notes.refused.push_back(std::move(*evidence));
         }
--- a/Libraries/Entry/entry_daemon.cpp
+++ b/Libraries/Entry/entry_daemon.cpp
@@ -121,8 +121,8 @@
               constraints,
               counters,
               [this] { return relay.held.counts(); },
-              [this](const stall_notice &notice) { assembly.hearStall(notice); },
-              [this](const group_doubt &doubt) { relay.doubt(doubt.head); })
+              [this](const stall_report &notice) { assembly.hearStall(notice); },
+              [this](const group_stall_warning &doubt) { relay.doubt(doubt.head); })
         , assembly(
               settings,
               *keyValue,
--- a/Libraries/Entry/feed_socket.h
+++ b/Libraries/Entry/feed_socket.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "Libraries/Base/metrics.h"
-#include "Libraries/Feed/feed_source.h"
+#include "Libraries/Feed/feed_publisher.h"
 
 #include <memory>
 #include <optional>
--- a/Libraries/Entry/peer_feed.cpp
+++ b/Libraries/Entry/peer_feed.cpp
@@ -36,8 +36,8 @@
     shared_suspects &suspects;
     shared_constraints &constraints;
     std::function<std::vector<model_demand>()> heldHere;
-    std::function<void(const stall_notice &)> didHearStall;
-    std::function<void(const group_doubt &)> didHearDoubt;
+    std::function<void(const stall_report &)> didHearStall;
+    std::function<void(const group_stall_warning &)> didHearDoubt;
     feed_socket socket;
 
     mutable std::mutex mutex;
@@ -57,8 +57,8 @@
                  shared_constraints &sharedConstraints,
                  metrics &counters,
                  std::function<std::vector<model_demand>()> held,
-                 std::function<void(const stall_notice &)> hearStall,
-                 std::function<void(const group_doubt &)> hearDoubt)
+                 std::function<void(const stall_report &)> hearStall,
+                 std::function<void(const group_stall_warning &)> hearDoubt)
         : settings(entrySettings)
         , timing(feedTiming(oldestConfiguration(entrySettings)))
         , store(follows)
@@ -98,31 +98,31 @@
     std::optional<endpoint> heardSource() const
     {
         const std::lock_guard lock(mutex);
-        return !role.isSource && follower.wasHeard ? follower.source : std::nullopt;
+        return !role.isSource && follower.hasSourceAnswered ? follower.source : std::nullopt;
     }
 
     void spreadTables()
     {
         const auto source = heardSource();
-        const auto followers = store.heardFollowers();
+        const auto followers = store.activeFollowers();
         socket.sendAll(suspects.due(source, followers));
         socket.sendAll(constraints.due(source, followers));
     }
 
     /// From any daemon: one that has just found another source may still hold what this one lacks.
-    void take(const suspect_list &list, const endpoint &from)
+    void take(const suspect_batch &list, const endpoint &from)
     {
         socket.send(suspects.take(list, from));
         spreadTables();
     }
 
-    void take(const constraint_list &list, const endpoint &from)
+    void take(const constraint_batch &list, const endpoint &from)
     {
         socket.send(constraints.take(list, from));
         spreadTables();
     }
 
-    void take(const constraint_receipt &receipt, const endpoint &from)
+    void take(const constraint_ack &receipt, const endpoint &from)
     {
         constraints.take(receipt, from);
     }
@@ -161,7 +161,7 @@
         return to.has_value();
     }
 
-    void take(const suspect_receipt &receipt, const endpoint &from)
+    void take(const suspect_ack &receipt, const endpoint &from)
     {
         suspects.take(receipt, from);
     }
@@ -198,7 +198,7 @@
 
     void take(const feed_subscription &subscription, const endpoint &from)
     {
-        if (!passesOn()) {
+        if (!servesFollowers()) {
             socket.send({{from}, feed_end()});
             return;
         }
@@ -218,10 +218,10 @@
         }
     }
 
-    bool passesOn() const
+    bool servesFollowers() const
     {
         const std::lock_guard lock(mutex);
-        return vetchpost::passesOn(role);
+        return vetchpost::servesFollowers(role);
     }
 
     bool isSource() const
@@ -233,7 +233,7 @@
     void take(const feed_referral &referral, const endpoint &from)
     {
         const std::lock_guard lock(mutex);
-        if (referral.relay != settings.peers && takeReferral(follower, from, referral.relay, monotonicNow())) {
+        if (referral.relay != settings.peers && acceptReferral(follower, from, referral.relay, monotonicNow())) {
             feedLog.write("source_referred", {{"source", from.text()}, {"relay", referral.relay.text()}});
         }
     }
@@ -247,14 +247,14 @@
                 return;
             }
             const auto now = monotonicNow();
-            asked = noteUpdate(follower, update, now);
+            asked = acceptUpdate(follower, update, now);
             if (asked) {
-                role.wasFed = true;
+                role.hasReceivedFeed = true;
                 origin = update.origin.source;
                 store.setOrigin({update.origin.source, update.origin.hops + 1}, follower.daemons.value_or(0));
             }
-            if (asked && !follower.wasHeard) {
-                follower.wasHeard = true;
+            if (asked && !follower.hasSourceAnswered) {
+                follower.hasSourceAnswered = true;
                 feedLog.write("source_heard", {{"source", from.text()}, {"hops", update.origin.hops}, {"daemons", update.daemons}});
             }
         }
@@ -263,7 +263,7 @@
         socket.sendAll(store.pendingPushes());
     }
 
-    void take(const stall_notice &notice, const endpoint & /*from*/)
+    void take(const stall_report &notice, const endpoint & /*from*/)
     {
         if (isSource()) {
             didHearStall(notice);
@@ -279,7 +279,7 @@
     }
 
     /// False where no source is known.
-    bool sendToSource(const stall_notice &notice)
+    bool sendToSource(const stall_report &notice)
     {
         std::optional<endpoint> to;
         {
@@ -298,11 +298,11 @@
         return from == follower.source;
     }
 
-    void take(const group_doubt &doubt, const endpoint &from)
+    void take(const group_stall_warning &doubt, const endpoint &from)
     {
         if (isFromSource(from)) {
             didHearDoubt(doubt);
-            socket.send({store.heardFollowers(), doubt});
+            socket.send({store.activeFollowers(), doubt});
         }
     }
 
@@ -318,7 +318,7 @@
     void giveUpSource(const std::string &why)
     {
         const auto lost = follower.source ? follower.source->text() : std::string();
-        const bool hasNext = loseSource(follower, monotonicNow());
+        const bool hasNext = dropSource(follower, monotonicNow());
         feedLog.write("source_lost", {{"source", lost}, {"why", why}, {"next", hasNext ? follower.source->text() : std::string()}});
     }
 
@@ -333,12 +333,12 @@
             if (!follower.source || now < follower.nextSubscription) {
                 return;
             }
-            if (isSourceSilent(follower, timing.sourceSilence, now)) {
+            if (hasSourceTimedOut(follower, timing.sourceTimeout, now)) {
                 giveUpSource("the source is silent");
                 return;
             }
-            follower.nextSubscription = now + (daemonsHere > 1 ? timing.relaySubscription : timing.subscription);
-            auto subscription = subscribe(follower, settings.daemon, upTo, wantsReplicas, now);
+            follower.nextSubscription = now + (daemonsHere > 1 ? timing.relaySubscriptionPeriod : timing.subscription);
+            auto subscription = makeSubscription(follower, settings.daemon, upTo, wantsReplicas, now);
             subscription.dataCentre = settings.dataCentre;
             subscription.isEnding = role.isEnding;
             subscription.daemons = daemonsHere;
@@ -359,8 +359,8 @@
                      shared_constraints &constraints,
                      metrics &counters,
                      std::function<std::vector<model_demand>()> heldHere,
-                     std::function<void(const stall_notice &)> didHearStall,
-                     std::function<void(const group_doubt &)> didHearDoubt)
+                     std::function<void(const stall_report &)> didHearStall,
+                     std::function<void(const group_stall_warning &)> didHearDoubt)
     : d(std::make_unique<private_data>(
         settings, store, suspects, constraints, counters, std::move(heldHere), std::move(didHearStall), std::move(didHearDoubt)))
 {
@@ -450,21 +450,21 @@
     return d->askForPermit(question);
 }
 
-bool peer_feed::tellStall(const stall_notice &notice)
+bool peer_feed::tellStall(const stall_report &notice)
 {
     return d->sendToSource(notice);
 }
 
 void peer_feed::tellDoubt(const instance_id &head)
 {
-    d->socket.send({d->store.heardFollowers(), group_doubt{head}});
+    d->socket.send({d->store.activeFollowers(), group_stall_warning{head}});
     d->didHearDoubt({head});
 }
 
-bool peer_feed::isSourceHeard() const
+bool peer_feed::isSourceActive() const
 {
     const std::lock_guard lock(d->mutex);
-    return vetchpost::isSourceHeard(d->follower, d->timing.sourceSilence, monotonicNow());
+    return vetchpost::isSourceActive(d->follower, d->timing.sourceTimeout, monotonicNow());
 }
 
 std::optional<int> peer_feed::daemons() const
@@ -473,7 +473,7 @@
     const std::lock_guard lock(d->mutex);
     if (heard) {
         // A daemon that has just become the source has heard nobody yet.
-        noteDaemons(d->follower, *heard, monotonicNow());
+        recordDaemonCount(d->follower, *heard, monotonicNow());
     }
     return d->follower.daemons;
 }
--- a/Libraries/Entry/peer_feed.h
+++ b/Libraries/Entry/peer_feed.h
@@ -24,8 +24,8 @@
               shared_constraints &constraints,
               metrics &counters,
               std::function<std::vector<model_demand>()> heldHere,
-              std::function<void(const stall_notice &)> didHearStall,
-              std::function<void(const group_doubt &)> didHearDoubt);
+              std::function<void(const stall_report &)> didHearStall,
+              std::function<void(const group_stall_warning &)> didHearDoubt);
     ~peer_feed();
     peer_feed(const peer_feed &) = delete;
     peer_feed &operator=(const peer_feed &) = delete;
@@ -46,7 +46,7 @@
     /// Whether a first request has come, here or at a daemon that follows this one.
     bool hasTraffic() const;
     /// Sends a notice to the source; false where none is known.
-    bool tellStall(const stall_notice &notice);
+    bool tellStall(const stall_report &notice);
     /// Sends the neighbours what they lack of the tables that all daemons keep.
     void spreadTables();
     /// Asks the source for a permit, wherever it is; false where none is known.
@@ -55,7 +55,7 @@
     void tellDoubt(const instance_id &head);
 
     /// Whether the source answered lately.
-    bool isSourceHeard() const;
+    bool isSourceActive() const;
     /// How many daemons there are, by the source's count; nothing where no source was heard yet.
     std::optional<int> daemons() const;
 
--- a/Libraries/Entry/replica_reading.cpp
+++ b/Libraries/Entry/replica_reading.cpp
@@ -85,10 +85,10 @@
     {
         const std::lock_guard lock(mutex);
         takeListing(entries, replicas, listing->upTo, outage, monotonicNow());
-        noteListing(feed, replicas, listing->upTo, outage < lapsingOutage);
+        applyListing(feed, replicas, listing->upTo, outage < lapsingOutage);
         replicasUpTo = std::max(replicasUpTo, listing->upTo);
         // Another listing may be under way on another thread: the answer to the older one may come last.
-        replicasSeenAt = std::max(replicasSeenAt.value_or(asked), asked);
+        replicasCurrentAt = std::max(replicasCurrentAt.value_or(asked), asked);
         if (mustListSince && *mustListSince <= asked) {
             mustListSince.reset();
         }
@@ -126,8 +126,8 @@
     bool hasChanged = takeChanges(changes);
     {
         const std::lock_guard lock(mutex);
-        replicasSeenAt = monotonicNow();
-        noteChanges(feed, changes, result->upTo);
+        replicasCurrentAt = monotonicNow();
+        applyChanges(feed, changes, result->upTo);
         replicasUpTo = std::max(replicasUpTo, result->upTo);
         hasChanged = dropLapsed(entries, monotonicNow()) || hasChanged;
     }
@@ -197,11 +197,11 @@
         if (update.isHistoryLost) {
             replicasUpTo = 0;
         } else if (replicasUpTo != 0 && update.after <= replicasUpTo) {
-            noteChanges(feed, update.changes, update.upTo);
+            applyChanges(feed, update.changes, update.upTo);
             replicasUpTo = std::max(replicasUpTo, update.upTo);
             mustListSince.reset();
             if (asked && update.replicasAge) {
-                replicasSeenAt = std::max(replicasSeenAt.value_or(*asked), *asked - *update.replicasAge);
+                replicasCurrentAt = std::max(replicasCurrentAt.value_or(*asked), *asked - *update.replicasAge);
             }
         }
     }
--- a/Libraries/Entry/shared_constraints.cpp
+++ b/Libraries/Entry/shared_constraints.cpp
@@ -56,7 +56,7 @@
     mutable std::mutex mutex;
     mutable std::condition_variable answered;
     replica_constraints table;
-    table_spread<replica_constraints> spread;
+    table_sync<replica_constraints> spread;
     permit_issuer issuer;
     permit_wallet wallet;
     std::map<replica_key, sending_count> sendings;
@@ -280,14 +280,14 @@
     const std::lock_guard lock(d->mutex);
     const auto now = monotonicNow();
     d->clean(now);
-    return listsDue(d->spread, d->table, source, followers, now);
+    return collectDueBatches(d->spread, d->table, source, followers, now);
 }
 
-feed_datagram shared_constraints::take(const constraint_list &list, const endpoint &from)
+feed_datagram shared_constraints::take(const constraint_batch &list, const endpoint &from)
 {
     const std::lock_guard lock(d->mutex);
     const auto before = d->table.changes;
-    auto receipt = takeList(d->spread, d->table, list, from, monotonicNow());
+    auto receipt = applyBatch(d->spread, d->table, list, from, monotonicNow());
     for (const auto &report : list.reports) {
         const auto *known = findConstraint(d->table, report.replica);
         if (known != nullptr && known->changed > before) {
@@ -306,10 +306,10 @@
     }
 }
 
-void shared_constraints::take(const constraint_receipt &receipt, const endpoint &from)
+void shared_constraints::take(const constraint_ack &receipt, const endpoint &from)
 {
     const std::lock_guard lock(d->mutex);
-    takeReceipt(d->spread, receipt, from);
+    applyAck(d->spread, receipt, from);
 }
 
 permit_answer shared_constraints::issue(const permit_question &question, const endpoint &asker)
--- a/Libraries/Entry/shared_constraints.h
+++ b/Libraries/Entry/shared_constraints.h
@@ -3,7 +3,7 @@
 
 #include "Libraries/Base/metrics.h"
 #include "Libraries/Entry/entry_view.h"
-#include "Libraries/Feed/table_spread.h"
+#include "Libraries/Feed/table_sync.h"
 #include "Libraries/Requests/place_closure.h"
 
 #include <functional>
@@ -61,10 +61,10 @@
 
     // The neighbours.
     std::vector<feed_datagram> due(const std::optional<endpoint> &source, const std::vector<endpoint> &followers);
-    feed_datagram take(const constraint_list &list, const endpoint &from);
+    feed_datagram take(const constraint_batch &list, const endpoint &from);
     /// Calls didLearnLeaving where lists have told of departures since the last call.
     void tellLearned();
-    void take(const constraint_receipt &receipt, const endpoint &from);
+    void take(const constraint_ack &receipt, const endpoint &from);
     /// As the source: issues permits.
     permit_answer issue(const permit_question &question, const endpoint &asker);
     void take(const permit_answer &answer);
--- a/Libraries/Entry/shared_suspects.cpp
+++ b/Libraries/Entry/shared_suspects.cpp
@@ -30,7 +30,7 @@
 {
     mutable std::mutex mutex;
     crash_suspects table;
-    table_spread<crash_suspects> spread;
+    table_sync<crash_suspects> spread;
     recent_answers answers;
     std::atomic<bool> hasAny = false;
     counter ends;
@@ -165,19 +165,19 @@
 std::vector<feed_datagram> shared_suspects::due(const std::optional<endpoint> &source, const std::vector<endpoint> &followers)
 {
     const std::lock_guard lock(d->mutex);
-    return listsDue(d->spread, d->table, source, followers, monotonicNow());
+    return collectDueBatches(d->spread, d->table, source, followers, monotonicNow());
 }
 
-feed_datagram shared_suspects::take(const suspect_list &list, const endpoint &from)
+feed_datagram shared_suspects::take(const suspect_batch &list, const endpoint &from)
 {
     const std::lock_guard lock(d->mutex);
-    return d->change("another daemon tells of it", [&] { return takeList(d->spread, d->table, list, from, monotonicNow()); });
+    return d->change("another daemon tells of it", [&] { return applyBatch(d->spread, d->table, list, from, monotonicNow()); });
 }
 
-void shared_suspects::take(const suspect_receipt &receipt, const endpoint &from)
+void shared_suspects::take(const suspect_ack &receipt, const endpoint &from)
 {
     const std::lock_guard lock(d->mutex);
-    takeReceipt(d->spread, receipt, from);
+    applyAck(d->spread, receipt, from);
 }
 
 } // namespace vetchpost
--- a/Libraries/Entry/shared_suspects.h
+++ b/Libraries/Entry/shared_suspects.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "Libraries/Base/metrics.h"
-#include "Libraries/Feed/table_spread.h"
+#include "Libraries/Feed/table_sync.h"
 
 #include <atomic>
 #include <memory>
@@ -35,8 +35,8 @@
 
     // The neighbours.
     std::vector<feed_datagram> due(const std::optional<endpoint> &source, const std::vector<endpoint> &followers);
-    feed_datagram take(const suspect_list &list, const endpoint &from);
-    void take(const suspect_receipt &receipt, const endpoint &from);
+    feed_datagram take(const suspect_batch &list, const endpoint &from);
+    void take(const suspect_ack &receipt, const endpoint &from);
 
 private:
     struct private_data;
--- a/Libraries/Entry/store_follower.cpp
+++ b/Libraries/Entry/store_follower.cpp
@@ -47,7 +47,7 @@
 bool store_follower::private_data::isTold() const
 {
     const std::lock_guard lock(mutex);
-    const auto limit = hasFollowersNow() ? timing.relayWatching : timing.ownWatching;
+    const auto limit = hasFollowersNow() ? timing.relayWatchDelay : timing.directWatchDelay;
     return !isSource && toldAt && monotonicNow() - *toldAt < limit;
 }
 
@@ -58,7 +58,7 @@
 
 duration store_follower::private_data::readingLimit() const
 {
-    return hasFollowersNow() ? timing.relayReading : timing.ownReading;
+    return hasFollowersNow() ? timing.relayReadDelay : timing.directReadDelay;
 }
 
 store_follower::store_follower(key_value_service &keyValue,
@@ -140,7 +140,7 @@
 {
     const std::lock_guard lock(d->mutex);
     const auto now = monotonicNow();
-    d->feed.replicasSeenAt = d->replicasSeenAt;
+    d->feed.replicasCurrentAt = d->replicasCurrentAt;
     return mayRefer ? answerOrRefer(d->feed, subscription, from, now) : vetchpost::answerSubscription(d->feed, subscription, from, now);
 }
 
@@ -150,11 +150,11 @@
     return vetchpost::pendingPushes(d->feed, monotonicNow());
 }
 
-void store_follower::setOrigin(const feed_origin &origin, int daemonsTold)
+void store_follower::setOrigin(const feed_origin &origin, int sourceDaemonCount)
 {
     const std::lock_guard lock(d->mutex);
     d->feed.origin = origin;
-    d->feed.daemonsTold = daemonsTold;
+    d->feed.sourceDaemonCount = sourceDaemonCount;
 }
 
 std::vector<feed_datagram> store_follower::endOfFeed()
@@ -179,10 +179,10 @@
     return totalDemand(d->feed, monotonicNow());
 }
 
-std::vector<endpoint> store_follower::heardFollowers() const
+std::vector<endpoint> store_follower::activeFollowers() const
 {
     const std::lock_guard lock(d->mutex);
-    return vetchpost::heardFollowers(d->feed, monotonicNow());
+    return vetchpost::activeFollowers(d->feed, monotonicNow());
 }
 
 int store_follower::daemonsHeard() const
--- a/Libraries/Entry/store_follower.h
+++ b/Libraries/Entry/store_follower.h
@@ -3,7 +3,7 @@
 
 #include "Libraries/Base/metrics.h"
 #include "Libraries/Entry/entry_dialect.h"
-#include "Libraries/Feed/feed_source.h"
+#include "Libraries/Feed/feed_publisher.h"
 #include "Libraries/Feed/feed_timing.h"
 #include "Libraries/Platform/key_value_service.h"
 #include "Libraries/Requests/replica_constraints.h"
@@ -53,14 +53,14 @@
     std::vector<feed_datagram> answerSubscription(const feed_subscription &subscription, const endpoint &from, bool mayRefer = false);
     std::vector<feed_datagram> pendingPushes();
     /// Where what is known here was read, and how many daemons there are by the word of the one that passed it on.
-    void setOrigin(const feed_origin &origin, int daemonsTold);
+    void setOrigin(const feed_origin &origin, int sourceDaemonCount);
     /// Tells all followers that this daemon is no source any more, and forgets them.
     std::vector<feed_datagram> endOfFeed();
     /// Requests of each model that the followers hold.
     std::map<model_id, int> followersDemand(const service_id &service) const;
     std::vector<model_demand> followersDemand() const;
     /// The followers that were heard lately.
-    std::vector<endpoint> heardFollowers() const;
+    std::vector<endpoint> activeFollowers() const;
     /// Followers that were heard lately, and this daemon.
     int daemonsHeard() const;
 
--- a/Libraries/Entry/store_follower_data.h
+++ b/Libraries/Entry/store_follower_data.h
@@ -35,7 +35,7 @@
     bool mustReadConfiguration = false;
     /// The source was in contact with the service at this moment.
     std::optional<instant> toldAt;
-    feed_source feed;
+    feed_publisher feed;
     std::shared_ptr<const route_table> table;
     key_revision configurationRevision;
     std::optional<instant> currentAt;
@@ -51,7 +51,7 @@
     /// The last watch brought so much that there is more. Of the thread that watches alone.
     bool isBehind = false;
     /// When all changes of the replicas up to then were known.
-    std::optional<instant> replicasSeenAt;
+    std::optional<instant> replicasCurrentAt;
     service_presence presence{monotonicNow()};
     std::vector<std::thread> threads;
 
--- a/Libraries/Feed/feed_follower.cpp
+++ b/Libraries/Feed/feed_follower.cpp
@@ -7,20 +7,20 @@
 
 namespace {
 
-/// Subscriptions whose answer may still be on its way.
-constexpr std::size_t mostAsked = 24;
-/// A follower that loses its relay waits for so long before it asks the coordinator: those that are sent to a daemon which has just ended
-/// or started would else go to and fro as fast as the datagrams.
-constexpr duration referralPause(100);
-/// A number of daemons is believed for so long after it was told last. Daemons that the source does not hear may still send repeats: it
-/// hears nobody at first, and those behind a cut not before it ends. Longer than the ten seconds over which repeats are counted, and than
-/// most cuts.
-constexpr duration daemonsLifetime(30000);
+/// Limit on the unanswered subscriptions that are remembered because their answers may still arrive.
+constexpr std::size_t maxPendingSubscriptions = 24;
+/// Delay before a follower that has lost its relay subscribes to the coordinator. Without it followers that are referred to a relay which
+/// has just stopped or started would go back and forth as fast as datagrams travel.
+constexpr duration resubscribeDelay(100);
+/// How long a count of daemons stays in use after it was last reported. Daemons from which the source receives nothing may still retry
+/// requests: a new source has received no subscriptions yet, and a partitioned daemon's do not arrive until the partition ends. This is
+/// longer than the ten seconds over which retries are counted, and than most partitions.
+constexpr duration daemonCountWindow(30000);
 
-void ask(feed_follower &follower, const endpoint &source, instant now)
+void switchSource(feed_follower &follower, const endpoint &source, instant now)
 {
     follower.source = source;
-    follower.wasHeard = false;
+    follower.hasSourceAnswered = false;
     follower.lastAnswer.reset();
     follower.nextSubscription = now;
 }
@@ -29,98 +29,100 @@
 
 void follow(feed_follower &follower, const endpoint &coordinator, instant now)
 {
-    const bool isAsked = follower.source && follower.coordinator == coordinator;
+    const bool isFollowed = follower.source && follower.coordinator == coordinator;
     follower.coordinator = coordinator;
-    if (!isAsked) {
-        ask(follower, coordinator, now);
+    if (!isFollowed) {
+        switchSource(follower, coordinator, now);
     }
 }
 
-bool takeReferral(feed_follower &follower, const endpoint &from, const endpoint &relay, instant now)
+bool acceptReferral(feed_follower &follower, const endpoint &from, const endpoint &relay, instant now)
 {
     if (from != follower.coordinator || from != follower.source) {
         return false;
     }
-    ask(follower, relay, now);
+    switchSource(follower, relay, now);
     return true;
 }
 
-bool loseSource(feed_follower &follower, instant now)
+bool dropSource(feed_follower &follower, instant now)
 {
     const bool wasRelay = follower.source != follower.coordinator;
     if (wasRelay && follower.coordinator) {
         follower.lostRelay = follower.source;
-        ask(follower, *follower.coordinator, now + referralPause);
+        switchSource(follower, *follower.coordinator, now + resubscribeDelay);
         return true;
     }
     follower.source.reset();
     follower.coordinator.reset();
-    follower.wasHeard = false;
+    follower.hasSourceAnswered = false;
     follower.lastAnswer.reset();
     return false;
 }
 
-// The number divides what all may send: one that is too large costs repeats, one that is too small breaks the bound.
-void noteDaemons(feed_follower &follower, int daemons, instant now)
+// The daemons share one budget of retries, divided by this count: a count that is too high costs retries, one that is too low lets them
+// exceed the bound.
+void recordDaemonCount(feed_follower &follower, int daemons, instant now)
 {
-    auto &told = follower.daemonsTold;
-    // What is not above a later number can never be the highest again.
-    while (!told.empty() && told.back().second <= daemons) {
-        told.pop_back();
+    auto &counts = follower.recentDaemonCounts;
+    // A count that is not above a later one can never be the highest again.
+    while (!counts.empty() && counts.back().second <= daemons) {
+        counts.pop_back();
     }
-    told.emplace_back(now, daemons);
-    while (now - told.front().first >= daemonsLifetime) {
-        told.pop_front();
+    counts.emplace_back(now, daemons);
+    while (now - counts.front().first >= daemonCountWindow) {
+        counts.pop_front();
     }
-    follower.daemons = told.front().second;
+    follower.daemons = counts.front().second;
 }
 
-feed_subscription subscribe(feed_follower &follower, const daemon_id &from, std::uint64_t replicasUpTo, bool wantsReplicas, instant now)
+feed_subscription
+makeSubscription(feed_follower &follower, const daemon_id &from, std::uint64_t replicasUpTo, bool wantsReplicas, instant now)
 {
-    follower.asked[++follower.lastNonce] = now;
-    if (follower.asked.size() > mostAsked) {
-        follower.asked.erase(follower.asked.begin());
+    follower.pendingSubscriptions[++follower.lastNonce] = now;
+    if (follower.pendingSubscriptions.size() > maxPendingSubscriptions) {
+        follower.pendingSubscriptions.erase(follower.pendingSubscriptions.begin());
     }
     feed_subscription subscription{from, follower.lastNonce, replicasUpTo, wantsReplicas, {}};
     subscription.lostRelay = follower.lostRelay;
     return subscription;
 }
 
-std::optional<instant> noteUpdate(feed_follower &follower, const feed_update &update, instant now)
+std::optional<instant> acceptUpdate(feed_follower &follower, const feed_update &update, instant now)
 {
-    const auto asked = follower.asked.find(update.nonce);
-    if (asked == follower.asked.end()) {
+    const auto answered = follower.pendingSubscriptions.find(update.nonce);
+    if (answered == follower.pendingSubscriptions.end()) {
         return std::nullopt;
     }
-    if (update.origin.hops > mostHops) {
-        // It comes from a circle of daemons that have lost the coordinator.
+    if (update.origin.hops > maxHops) {
+        // The update travels in a loop of daemons that have lost the coordinator.
         return std::nullopt;
     }
-    const auto when = asked->second;
-    // Answers to earlier subscriptions that come now tell nothing new.
-    follower.asked.erase(follower.asked.begin(), std::next(asked));
+    const auto sentAt = answered->second;
+    // Answers to earlier subscriptions that arrive after this one contain nothing new.
+    follower.pendingSubscriptions.erase(follower.pendingSubscriptions.begin(), std::next(answered));
     follower.lastAnswer = now;
     if (update.origin.source.port != 0) {
-        // A relay may have become the coordinator, or have found another one.
+        // The relay may have become the coordinator, or have begun to follow another one.
         follower.coordinator = update.origin.source;
     }
     if (update.origin.hops > 0) {
         follower.lostRelay.reset();
     }
-    noteDaemons(follower, update.daemons, now);
-    return when;
+    recordDaemonCount(follower, update.daemons, now);
+    return sentAt;
 }
 
-// A relay that does not answer at all is given up after the same time as a source that falls silent.
-bool isSourceSilent(const feed_follower &follower, duration silence, instant now)
+// A relay that never answers is given up after the same time as a source that stops answering.
+bool hasSourceTimedOut(const feed_follower &follower, duration silence, instant now)
 {
     const bool isRelay = follower.source && follower.source != follower.coordinator;
-    const auto isOld = [&](const auto &asked) { return now - asked.second >= silence; };
-    const bool isUnanswered = !follower.asked.empty() && isOld(*follower.asked.begin());
-    return follower.wasHeard ? !isSourceHeard(follower, silence, now) : isRelay && isUnanswered;
+    const auto isOld = [&](const auto &pending) { return now - pending.second >= silence; };
+    const bool isUnanswered = !follower.pendingSubscriptions.empty() && isOld(*follower.pendingSubscriptions.begin());
+    return follower.hasSourceAnswered ? !isSourceActive(follower, silence, now) : isRelay && isUnanswered;
 }
 
-bool isSourceHeard(const feed_follower &follower, duration silence, instant now)
+bool isSourceActive(const feed_follower &follower, duration silence, instant now)
 {
     return follower.lastAnswer && now - *follower.lastAnswer < silence;
 }
--- a/Libraries/Feed/feed_follower.h
+++ b/Libraries/Feed/feed_follower.h
@@ -8,45 +8,48 @@
 
 namespace vetchpost {
 
-/// One daemon's side of the feed: what it asked, and when.
+/// A daemon's state as a follower: its source and its pending subscriptions.
 struct feed_follower
 {
-    /// The daemon that reads the key-value service for all, as far as it is known.
+    /// The daemon that reads the key-value service for all, if known.
     std::optional<endpoint> coordinator;
-    /// The one that is asked: the coordinator, or a relay that it named.
+    /// The daemon that subscriptions are sent to: the coordinator, or a relay that it referred this follower to.
     std::optional<endpoint> source;
-    /// The relay that fell silent, until another source is heard.
+    /// The relay that was lost; set until another relay has answered.
     std::optional<endpoint> lostRelay;
-    /// Whether the source has answered since it is asked.
-    bool wasHeard = false;
+    /// Whether the source has answered since this daemon began to follow it.
+    bool hasSourceAnswered = false;
     instant nextSubscription;
     std::uint64_t lastNonce = 0;
-    /// When each subscription was sent that has no answer yet; the latest few.
-    std::map<std::uint64_t, instant> asked;
+    /// When each unanswered subscription was sent, by nonce; only the latest are kept.
+    std::map<std::uint64_t, instant> pendingSubscriptions;
     std::optional<instant> lastAnswer;
-    /// Daemons by the source's count, the highest of the last while; nothing before its first answer.
+    /// Number of daemons: the highest count within the last 30 seconds; empty before the first one.
     std::optional<int> daemons;
-    /// The numbers that may still be the highest, with when each was told last: the earlier the higher.
-    std::deque<std::pair<instant, int>> daemonsTold;
+    /// The counts that may still become the highest, with the time of each, in descending order of the counts.
+    std::deque<std::pair<instant, int>> recentDaemonCounts;
 };
 
-/// Asks this coordinator from now on, unless it, or a relay that it named, is asked already.
+/// Begins to follow a coordinator, unless the follower already follows it, directly or through a relay.
 void follow(feed_follower &follower, const endpoint &coordinator, instant now);
-/// The coordinator names a relay to ask in its place. False where the word comes from somebody else.
-bool takeReferral(feed_follower &follower, const endpoint &from, const endpoint &relay, instant now);
-/// The source is silent or has ended: a relay gives way to its coordinator. False where nobody is left to ask.
-bool loseSource(feed_follower &follower, instant now);
-/// Whether the source had answered and is silent now.
-bool isSourceSilent(const feed_follower &follower, duration silence, instant now);
+/// Switches to the relay that the coordinator refers this follower to. Returns false, and changes nothing, unless \a from is the
+/// coordinator and the current source.
+bool acceptReferral(feed_follower &follower, const endpoint &from, const endpoint &relay, instant now);
+/// Gives up a source that is silent or has stopped: a lost relay is replaced by its coordinator. Returns false if no source is left.
+bool dropSource(feed_follower &follower, instant now);
+/// Returns whether the source has answered before but not within \a silence, or is a relay that has left a subscription unanswered for that
+/// long.
+bool hasSourceTimedOut(const feed_follower &follower, duration silence, instant now);
 
-/// Takes in a number of daemons: the source's, or the daemon's own where it is the source. The highest of the last while counts.
-void noteDaemons(feed_follower &follower, int daemons, instant now);
-/// The next subscription.
-feed_subscription subscribe(feed_follower &follower, const daemon_id &from, std::uint64_t replicasUpTo, bool wantsReplicas, instant now);
-/// Notes an update. Returns when the subscription that it answers was sent; nothing for one that answers none. What the update tells was
-/// true at that moment or later, whatever the message's way took, and however long either process stood still.
-std::optional<instant> noteUpdate(feed_follower &follower, const feed_update &update, instant now);
-/// Whether the source has answered within \a silence.
-bool isSourceHeard(const feed_follower &follower, duration silence, instant now);
+/// Records a count of daemons: the source's, or this daemon's own if it is the source. The highest of the last 30 seconds is used.
+void recordDaemonCount(feed_follower &follower, int daemons, instant now);
+/// Returns the next subscription to send and records when it was sent.
+feed_subscription
+makeSubscription(feed_follower &follower, const daemon_id &from, std::uint64_t replicasUpTo, bool wantsReplicas, instant now);
+/// Records an update. Returns when the subscription that it answers was sent, or nothing if it answers none or was relayed too often. The
+/// ages in the update count from that moment at the earliest, however long the messages travelled or either process was suspended.
+std::optional<instant> acceptUpdate(feed_follower &follower, const feed_update &update, instant now);
+/// Returns whether the source has answered within \a silence.
+bool isSourceActive(const feed_follower &follower, duration silence, instant now);
 
 } // namespace vetchpost
--- a/Libraries/Feed/feed_messages.cpp
+++ b/Libraries/Feed/feed_messages.cpp
@@ -11,20 +11,20 @@
 
 namespace {
 
-// Names are short: entries fill most of a datagram.
+// The names are short because a datagram holds several entries.
 constexpr auto kindField = "kind";
 constexpr auto subscriptionKind = "subscribe";
 constexpr auto updateKind = "update";
 constexpr auto stallKind = "stall";
-constexpr auto doubtKind = "doubt";
+constexpr auto stallWarningKind = "doubt";
 constexpr auto endKind = "end";
 constexpr auto referralKind = "refer";
-constexpr auto suspectsKind = "suspects";
-constexpr auto receiptKind = "receipt";
-constexpr auto constraintsKind = "constraints";
-constexpr auto constraintReceiptKind = "constraint_receipt";
-constexpr auto questionKind = "ask_permits";
-constexpr auto answerKind = "permits";
+constexpr auto suspectBatchKind = "suspects";
+constexpr auto suspectAckKind = "receipt";
+constexpr auto constraintBatchKind = "constraints";
+constexpr auto constraintAckKind = "constraint_receipt";
+constexpr auto permitRequestKind = "ask_permits";
+constexpr auto permitResponseKind = "permits";
 constexpr auto fromField = "from";
 constexpr auto nonceField = "nonce";
 constexpr auto upToField = "up_to";
@@ -46,7 +46,7 @@
 constexpr auto hopsField = "hops";
 constexpr auto relayField = "relay";
 constexpr auto endingField = "ending";
-constexpr auto firstField = "first";
+constexpr auto requestsAllField = "first";
 constexpr auto reportsField = "list";
 constexpr auto wantedField = "wanted";
 constexpr auto reportField = "report";
@@ -59,7 +59,7 @@
     return Json::UInt64(value);
 }
 
-Json::Value encoded(const feed_subscription &message)
+Json::Value encodeBody(const feed_subscription &message)
 {
     Json::Value json;
     json[kindField] = subscriptionKind;
@@ -83,7 +83,7 @@
     return json;
 }
 
-Json::Value encoded(const feed_update &message)
+Json::Value encodeBody(const feed_update &message)
 {
     Json::Value json;
     json[kindField] = updateKind;
@@ -102,12 +102,12 @@
     json[upToField] = number(message.upTo);
     json[historyLostField] = message.isHistoryLost;
     for (const auto &change : message.changes) {
-        json[changesField].append(encodedChange(change));
+        json[changesField].append(encodeChange(change));
     }
     return json;
 }
 
-Json::Value encoded(const stall_notice &message)
+Json::Value encodeBody(const stall_report &message)
 {
     Json::Value json;
     json[kindField] = stallKind;
@@ -116,22 +116,22 @@
     return json;
 }
 
-Json::Value encoded(const group_doubt &message)
+Json::Value encodeBody(const group_stall_warning &message)
 {
     Json::Value json;
-    json[kindField] = doubtKind;
+    json[kindField] = stallWarningKind;
     json[replicaField] = message.head.value();
     return json;
 }
 
-Json::Value encoded(const feed_end & /*message*/)
+Json::Value encodeBody(const feed_end & /*message*/)
 {
     Json::Value json;
     json[kindField] = endKind;
     return json;
 }
 
-Json::Value encoded(const feed_referral &message)
+Json::Value encodeBody(const feed_referral &message)
 {
     Json::Value json;
     json[kindField] = referralKind;
@@ -139,30 +139,30 @@
     return json;
 }
 
-Json::Value encodedReport(const crash_evidence &report)
+Json::Value encodeReport(const crash_evidence &report)
 {
-    return encodedEvidence(report);
+    return encodeSuspectReport(report);
 }
 
-Json::Value encodedReport(const constraint_report &report)
+Json::Value encodeReport(const constraint_report &report)
 {
-    return encodedConstraint(report);
+    return encodeConstraintReport(report);
 }
 
 template <class Report>
-Json::Value encodedList(const char *kind, const spread_list<Report> &message)
+Json::Value encodeBatch(const char *kind, const sync_batch<Report> &message)
 {
     Json::Value json;
     json[kindField] = kind;
-    json[firstField] = message.isFirst;
+    json[requestsAllField] = message.requestsAll;
     json[upToField] = number(message.upTo);
     for (const auto &report : message.reports) {
-        json[reportsField].append(encodedReport(report));
+        json[reportsField].append(encodeReport(report));
     }
     return json;
 }
 
-Json::Value encodedReceipt(const char *kind, std::uint64_t upTo)
+Json::Value encodeAck(const char *kind, std::uint64_t upTo)
 {
     Json::Value json;
     json[kindField] = kind;
@@ -170,40 +170,40 @@
     return json;
 }
 
-Json::Value encoded(const suspect_list &message)
+Json::Value encodeBody(const suspect_batch &message)
 {
-    return encodedList(suspectsKind, message);
+    return encodeBatch(suspectBatchKind, message);
 }
 
-Json::Value encoded(const suspect_receipt &message)
+Json::Value encodeBody(const suspect_ack &message)
 {
-    return encodedReceipt(receiptKind, message.upTo);
+    return encodeAck(suspectAckKind, message.upTo);
 }
 
-Json::Value encoded(const constraint_list &message)
+Json::Value encodeBody(const constraint_batch &message)
 {
-    return encodedList(constraintsKind, message);
+    return encodeBatch(constraintBatchKind, message);
 }
 
-Json::Value encoded(const constraint_receipt &message)
+Json::Value encodeBody(const constraint_ack &message)
 {
-    return encodedReceipt(constraintReceiptKind, message.upTo);
+    return encodeAck(constraintAckKind, message.upTo);
 }
 
-Json::Value encoded(const permit_question &message)
+Json::Value encodeBody(const permit_question &message)
 {
     Json::Value json;
-    json[kindField] = questionKind;
+    json[kindField] = permitRequestKind;
     json[nonceField] = number(message.nonce);
     json[wantedField] = message.wanted;
-    json[reportField] = encodedConstraint(message.report);
+    json[reportField] = encodeConstraintReport(message.report);
     return json;
 }
 
-Json::Value encoded(const permit_answer &message)
+Json::Value encodeBody(const permit_answer &message)
 {
     Json::Value json;
-    json[kindField] = answerKind;
+    json[kindField] = permitResponseKind;
     json[nonceField] = number(message.nonce);
     json[replicaField] = message.replica.replica.value();
     json[lifeField] = number(message.replica.life.value());
@@ -212,31 +212,31 @@
     return json;
 }
 
-/// Nothing where one of the reports cannot be read.
+/// Returns the batch, or nothing if one of its reports is invalid.
 template <class Report>
-std::optional<feed_message> decodedList(const Json::Value &json, std::optional<Report> (*decoded)(const Json::Value &))
+std::optional<feed_message> decodeBatch(const Json::Value &json, std::optional<Report> (*decodeReport)(const Json::Value &))
 {
-    spread_list<Report> list{jsonFlag(json, firstField), jsonNumber(json, upToField), {}};
+    sync_batch<Report> batch{jsonFlag(json, requestsAllField), jsonNumber(json, upToField), {}};
     for (const auto &entry : jsonArray(json, reportsField)) {
-        auto report = decoded(entry);
+        auto report = decodeReport(entry);
         if (!report) {
             return std::nullopt;
         }
-        list.reports.push_back(std::move(*report));
+        batch.reports.push_back(std::move(*report));
     }
-    return list;
+    return batch;
 }
 
-std::optional<feed_message> decodedQuestion(const Json::Value &json)
+std::optional<feed_message> decodePermitRequest(const Json::Value &json)
 {
-    const auto report = decodedConstraint(json[reportField]);
+    const auto report = decodeConstraintReport(json[reportField]);
     if (!report) {
         return std::nullopt;
     }
     return permit_question{jsonNumber(json, nonceField), static_cast<int>(jsonNumber(json, wantedField)), *report};
 }
 
-permit_answer decodedAnswer(const Json::Value &json)
+permit_answer decodePermitResponse(const Json::Value &json)
 {
     return {jsonNumber(json, nonceField),
             {instance_id(jsonString(json, replicaField)), replica_life(jsonNumber(json, lifeField))},
@@ -244,7 +244,7 @@
             duration(static_cast<std::int64_t>(jsonNumber(json, waitField)))};
 }
 
-feed_subscription decodedSubscription(const Json::Value &json)
+feed_subscription decodeSubscription(const Json::Value &json)
 {
     feed_subscription subscription{daemon_id(jsonString(json, fromField)),
                                    jsonNumber(json, nonceField),
@@ -263,7 +263,7 @@
     return subscription;
 }
 
-std::optional<feed_update> decodedUpdate(const Json::Value &json)
+std::optional<feed_update> decodeUpdate(const Json::Value &json)
 {
     feed_update update;
     update.nonce = jsonNumber(json, nonceField);
@@ -280,7 +280,7 @@
     update.upTo = jsonNumber(json, upToField);
     update.isHistoryLost = jsonFlag(json, historyLostField);
     for (const auto &entry : jsonArray(json, changesField)) {
-        auto change = decodedChange(entry);
+        auto change = decodeChange(entry);
         if (!change) {
             return std::nullopt;
         }
@@ -293,7 +293,7 @@
 
 std::string encodeFeedMessage(const feed_message &message)
 {
-    return toJsonText(std::visit([](const auto &body) { return encoded(body); }, message));
+    return toJsonText(std::visit([](const auto &body) { return encodeBody(body); }, message));
 }
 
 std::optional<feed_message> decodeFeedMessage(std::string_view bytes)
@@ -304,17 +304,17 @@
     }
     const auto kind = jsonString(*json, kindField);
     if (kind == subscriptionKind) {
-        return decodedSubscription(*json);
+        return decodeSubscription(*json);
     }
     if (kind == updateKind) {
-        auto update = decodedUpdate(*json);
+        auto update = decodeUpdate(*json);
         return update ? std::optional<feed_message>(std::move(*update)) : std::nullopt;
     }
     if (kind == stallKind) {
-        return stall_notice{daemon_id(jsonString(*json, fromField)), instance_id(jsonString(*json, replicaField))};
+        return stall_report{daemon_id(jsonString(*json, fromField)), instance_id(jsonString(*json, replicaField))};
     }
-    if (kind == doubtKind) {
-        return group_doubt{instance_id(jsonString(*json, replicaField))};
+    if (kind == stallWarningKind) {
+        return group_stall_warning{instance_id(jsonString(*json, replicaField))};
     }
     if (kind == endKind) {
         return feed_end();
@@ -323,23 +323,23 @@
         const auto relay = parseEndpoint(jsonString(*json, relayField));
         return relay ? std::optional<feed_message>(feed_referral{*relay}) : std::nullopt;
     }
-    if (kind == suspectsKind) {
-        return decodedList(*json, &decodedEvidence);
+    if (kind == suspectBatchKind) {
+        return decodeBatch(*json, &decodeSuspectReport);
     }
-    if (kind == receiptKind) {
-        return suspect_receipt{jsonNumber(*json, upToField)};
+    if (kind == suspectAckKind) {
+        return suspect_ack{jsonNumber(*json, upToField)};
     }
-    if (kind == constraintsKind) {
-        return decodedList(*json, &decodedConstraint);
+    if (kind == constraintBatchKind) {
+        return decodeBatch(*json, &decodeConstraintReport);
     }
-    if (kind == constraintReceiptKind) {
-        return constraint_receipt{jsonNumber(*json, upToField)};
+    if (kind == constraintAckKind) {
+        return constraint_ack{jsonNumber(*json, upToField)};
     }
-    if (kind == questionKind) {
-        return decodedQuestion(*json);
+    if (kind == permitRequestKind) {
+        return decodePermitRequest(*json);
     }
-    if (kind == answerKind) {
-        return decodedAnswer(*json);
+    if (kind == permitResponseKind) {
+        return decodePermitResponse(*json);
     }
     return std::nullopt;
 }
--- a/Libraries/Feed/feed_messages.h
+++ b/Libraries/Feed/feed_messages.h
@@ -15,10 +15,10 @@
 #include <variant>
 #include <vector>
 
-/// The datagrams by which the coordinator passes on what it reads from the key-value service (docs/design/FEED.md).
+/// The datagrams by which the coordinator distributes to the other daemons what it reads from the key-value service (docs/design/FEED.md).
 namespace vetchpost {
 
-/// Requests for one model that a daemon holds.
+/// Number of requests for one model of a service that daemons hold.
 struct model_demand
 {
     service_id service;
@@ -26,134 +26,136 @@
     int outstanding = 0;
 };
 
-/// A follower tells how far it has come and asks for what is newer.
+/// Sent by a follower: states up to which revision it has the feed, and asks for newer changes.
 struct feed_subscription
 {
     daemon_id from;
-    /// Comes back in the answer, so that the follower knows when it had asked.
+    /// Returned in the answer, so that the follower knows when it sent the subscription that is answered.
     std::uint64_t nonce = 0;
-    /// The service's revision up to which the follower has the replicas' entries; 0 where it has none.
+    /// The key-value service's revision up to which the follower has the replicas' entries; 0 if it has none.
     std::uint64_t replicasUpTo = 0;
-    /// Whether it wants the replicas' changes. Before the first request nothing is routed, and whole groups come at once: then each daemon
-    /// reads them from the service, a little late.
+    /// Whether the follower wants the changes of replicas' entries. Before its first request a daemon routes nothing, and the entries of
+    /// whole groups are written at once: it then reads them from the service itself, with some delay.
     bool wantsReplicas = true;
-    /// Held by the follower and by those that it passes the feed on to.
+    /// Requests held by the follower and by the daemons behind it.
     std::vector<model_demand> demand;
     data_centre_id dataCentre;
-    /// The follower, and those that it passes the feed on to.
+    /// Number of daemons behind the follower, itself included.
     int daemons = 1;
-    /// The relay that it had and lost, until it is heard elsewhere.
+    /// The relay that the follower has lost; set until another relay has answered.
     std::optional<endpoint> lostRelay = {};
-    /// It is about to end: nobody should be referred to it.
+    /// Whether the follower is shutting down: no other follower should be referred to it.
     bool isEnding = false;
 };
 
-/// A replica's entry as it was written or removed last.
+/// The latest write or removal of a replica's entry in the key-value service.
 struct replica_change
 {
     instance_id id;
-    /// The service's revision of the change.
+    /// The key-value service's revision of the change.
     std::uint64_t revision = 0;
-    /// Nothing where the entry was removed.
+    /// The entry that was written; empty if the entry was removed.
     std::optional<served_replica> replica;
 };
 
-/// Where an update comes from.
+/// The daemon at which an update originates, and its distance from there.
 struct feed_origin
 {
     /// The address of the daemon that reads the key-value service for all.
     endpoint source;
-    /// How many daemons have passed it on since.
+    /// How many daemons have relayed the update since.
     int hops = 0;
 };
 
-/// What the source has.
+/// Sent to a follower: the changes that it lacks, and how recent the sender's state is.
 struct feed_update
 {
-    /// Of the subscription that this answers; 0 where it was sent unasked.
+    /// Nonce of the subscription that this update answers; 0 if it was pushed without one.
     std::uint64_t nonce = 0;
     feed_origin origin;
-    /// Daemons that the source has heard lately, itself included.
+    /// Number of daemons that the source knows from recent subscriptions, itself included.
     int daemons = 0;
-    /// Revision of the configuration that was the newest ...
+    /// Revision of the newest configuration that the sender knows.
     key_revision configuration;
-    /// ... so long ago; nothing before the source has read it.
+    /// Time since this configuration was known to be the newest; empty until the source has read one.
     std::optional<duration> configurationAge;
-    /// How long ago the source knew all changes of replicas' entries; nothing before its first listing.
+    /// Time since all changes of replicas' entries were known; empty before the first listing.
     std::optional<duration> replicasAge;
-    /// Holds all changes of replicas' entries after this revision of the service ...
+    /// \a changes holds all changes of replicas' entries after this revision of the key-value service, up to \a upTo.
     std::uint64_t after = 0;
-    /// ... up to this one.
+    /// Last revision of the key-value service that \a changes covers.
     std::uint64_t upTo = 0;
     std::vector<replica_change> changes;
-    /// The source cannot tell all changes since the revision that was asked for: the follower must list.
+    /// Whether the sender no longer has all changes since the requested revision, so that the follower must list the entries itself.
     bool isHistoryLost = false;
 };
 
-/// Requests at a replica stand still at a daemon.
-struct stall_notice
+/// Sent to the source: the sender's requests make no progress at a replica.
+struct stall_report
 {
     daemon_id from;
     instance_id replica;
 };
 
-/// The source found a member of a group silent: requests that wait at the group's head had better go elsewhere.
-struct group_doubt
+/// Sent by the source: a member of a group is silent, so requests that wait at the group's head should be sent elsewhere.
+struct group_stall_warning
 {
     instance_id head;
 };
 
-/// The sender is no source (any more).
+/// The sender does not serve the feed, or no longer does.
 struct feed_end
 {
 };
 
-/// The follower had better ask a daemon that passes the feed on.
+/// Sent by the coordinator: the follower should subscribe to a relay instead.
 struct feed_referral
 {
     endpoint relay;
 };
 
-/// Entries of a table that all daemons keep, as far as the receiver may not know them.
+/// Entries of a replicated table that the receiver may lack (see table_sync).
 template <class Report>
-struct spread_list
+struct sync_batch
 {
-    /// The sender has just begun to follow the receiver, and wants to be told all.
-    bool isFirst = false;
-    /// Of the sender's table; comes back in the receipt.
+    /// Whether the sender has just begun to follow the receiver, and wants the receiver's whole table.
+    bool requestsAll = false;
+    /// Number of the last change of the sender's table that the batch covers; returned in the acknowledgement.
     std::uint64_t upTo = 0;
     std::vector<Report> reports;
 };
 
-/// A list has arrived.
+/// Acknowledges a sync_batch.
 template <class Report>
-struct spread_receipt
+struct sync_ack
 {
+    /// Copied from the batch.
     std::uint64_t upTo = 0;
 };
 
-/// Requests under which replicas ended.
-using suspect_list = spread_list<crash_evidence>;
-using suspect_receipt = spread_receipt<crash_evidence>;
-/// Replicas that named a limit, or leave.
-using constraint_list = spread_list<constraint_report>;
-using constraint_receipt = spread_receipt<constraint_report>;
+/// Batches of requests under which replicas ended, and their acknowledgements.
+using suspect_batch = sync_batch<crash_evidence>;
+using suspect_ack = sync_ack<crash_evidence>;
+/// Batches of replicas that named a rate limit or are leaving, and their acknowledgements.
+using constraint_batch = sync_batch<constraint_report>;
+using constraint_ack = sync_ack<constraint_report>;
 
 using feed_message = std::variant<feed_subscription,
                                   feed_update,
-                                  stall_notice,
-                                  group_doubt,
+                                  stall_report,
+                                  group_stall_warning,
                                   feed_end,
                                   feed_referral,
-                                  suspect_list,
-                                  suspect_receipt,
-                                  constraint_list,
-                                  constraint_receipt,
+                                  suspect_batch,
+                                  suspect_ack,
+                                  constraint_batch,
+                                  constraint_ack,
                                   permit_question,
                                   permit_answer>;
 
+/// Returns the message as the payload of a datagram.
 std::string encodeFeedMessage(const feed_message &message);
-/// Nothing where the bytes are no message.
+/// Returns the message in a datagram's payload, or nothing if the bytes are not a valid message.
 std::optional<feed_message> decodeFeedMessage(std::string_view bytes);
 
 } // namespace vetchpost
--- /dev/null
+++ b/Libraries/Feed/feed_publisher.h
@@ -0,0 +1,92 @@
+// SPDX-License-Identifier: Apache-2.0
+#pragma once
+
+#include "Libraries/Base/endpoint.h"
+#include "Libraries/Feed/feed_messages.h"
+
+#include <map>
+
+namespace vetchpost {
+
+/// A follower counts as present for this long after its last subscription.
+constexpr duration subscriberTimeout(5000);
+/// At about 150 bytes per change a datagram stays within an Ethernet frame, so that it is not fragmented.
+constexpr std::size_t maxChangesPerDatagram = 8;
+/// Limit on the datagrams sent to one follower at a time; its next subscription requests the rest.
+constexpr std::size_t maxDatagramsPerSend = 12;
+
+/// A message and the addresses that it is sent to.
+struct feed_datagram
+{
+    std::vector<endpoint> to;
+    feed_message message;
+};
+
+/// A follower of this daemon, as described by its last subscription.
+struct feed_subscriber
+{
+    endpoint address;
+    instant lastSubscribedAt;
+    /// Changes up to this revision of the key-value service were sent to it.
+    std::uint64_t sentUpTo = 0;
+    bool wantsReplicas = false;
+    std::vector<model_demand> demand;
+    data_centre_id dataCentre;
+    /// Number of daemons behind the follower, itself included.
+    int daemons = 1;
+    /// Whether the follower was chosen to relay the feed to other daemons of its data centre.
+    bool isRelay = false;
+    /// Followers that were recently referred to this relay, and when. They are missing from its own count until its next subscription.
+    std::map<daemon_id, instant> recentReferrals;
+};
+
+/// State of a daemon that serves the feed, as the source or as a relay: the latest change of each replica's entry, the revision since which
+/// these changes are complete, and the daemon's followers.
+struct feed_publisher
+{
+    std::map<instance_id, replica_change> latest;
+    /// \a latest holds every change after this revision.
+    std::uint64_t completeAfter = 0;
+    /// The key-value service's revision up to which \a latest goes; 0 before the first listing.
+    std::uint64_t upTo = 0;
+    key_revision configuration;
+    /// When the read that found this configuration began.
+    std::optional<instant> configurationCurrentAt;
+    /// The last moment at which all changes of replicas' entries were known.
+    std::optional<instant> replicasCurrentAt;
+    std::map<daemon_id, feed_subscriber> subscribers;
+    /// The daemon that read this state from the key-value service: this one, or the source from which it was relayed.
+    feed_origin origin;
+    /// Number of daemons that this daemon's own source reported; 0 on the source itself.
+    int sourceDaemonCount = 0;
+};
+
+/// Applies a listing of all replicas' entries as of the key-value service's revision \a upTo. With \a isContinuous no entry can have
+/// expired unseen since the service's last answer, so entries that the listing lacks are recorded as removed; otherwise the changes known
+/// so far are discarded.
+void applyListing(feed_publisher &publisher, const std::vector<replica_change> &listed, std::uint64_t upTo, bool isContinuous);
+/// Applies the changes that follow those already known, up to revision \a upTo of the key-value service.
+void applyChanges(feed_publisher &publisher, const std::vector<replica_change> &changes, std::uint64_t upTo);
+
+/// Adds or updates the follower that sent a subscription.
+void updateSubscriber(feed_publisher &publisher, const feed_subscription &subscription, const endpoint &from, instant now);
+/// Returns the answer to a follower that is referred to a relay: the configuration's revision, without any changes of replicas.
+feed_datagram
+answerWithoutChanges(const feed_publisher &publisher, const feed_subscription &subscription, const endpoint &from, instant now);
+/// Records the follower and returns the answer to its subscription. Only the last datagram carries the nonce.
+std::vector<feed_datagram>
+answerSubscription(feed_publisher &publisher, const feed_subscription &subscription, const endpoint &from, instant now);
+/// Returns the changes that present followers have not been sent yet, marks them as sent, and removes followers that are no longer present.
+std::vector<feed_datagram> pendingPushes(feed_publisher &publisher, instant now);
+/// Returns the addresses of the followers that are present.
+std::vector<endpoint> activeFollowers(const feed_publisher &publisher, instant now);
+/// Returns how many requests of a service the present followers hold, by model.
+std::map<model_id, int> demandOf(const feed_publisher &publisher, const service_id &service, instant now);
+/// Returns how many requests the present followers hold, by service and model.
+std::vector<model_demand> totalDemand(const feed_publisher &publisher, instant now);
+/// Returns whether the follower's last subscription is recent enough for it to count as present.
+bool isSubscribed(const feed_subscriber &subscriber, instant now);
+/// Returns the number of daemons known from recent subscriptions: this one, its followers and the daemons behind relays.
+int countDaemons(const feed_publisher &publisher, instant now);
+
+} // namespace vetchpost
--- a/Libraries/Feed/feed_role.h
+++ b/Libraries/Feed/feed_role.h
@@ -3,32 +3,34 @@
 
 namespace vetchpost {
 
-/// What a daemon is to the others that may ask it for the feed.
+/// A daemon's role in the feed, which decides whether it answers other daemons' subscriptions.
 struct feed_role
 {
-    /// It reads the key-value service for all.
+    /// Whether this daemon is the source, which reads the key-value service for all daemons.
     bool isSource = false;
-    /// A source has answered it since it was the source itself. While its source is away it reads for its followers itself.
-    bool wasFed = false;
-    /// It follows on, but passes nothing on any more.
+    /// Whether a source has answered this daemon since it was last the source itself. Such a daemon serves followers as a relay; while its
+    /// own source is lost it reads the key-value service for them.
+    bool hasReceivedFeed = false;
+    /// Whether this daemon is shutting down: it goes on following its source, but no longer serves followers as
+    /// a relay.
     bool isEnding = false;
 };
 
-/// Whether it answers subscriptions; else it says that it is no source.
-inline bool passesOn(const feed_role &role)
+/// Returns whether the daemon answers subscriptions; otherwise it replies with feed_end.
+inline bool servesFollowers(const feed_role &role)
 {
-    return role.isSource || (role.wasFed && !role.isEnding);
+    return role.isSource || (role.hasReceivedFeed && !role.isEnding);
 }
 
-/// Returns whether it was the source.
+/// Sets whether the daemon is the source. Returns whether it was the source before.
 inline bool setSource(feed_role &role, bool isSource)
 {
     const bool was = role.isSource;
     role.isSource = isSource;
     if (was && !isSource) {
-        // It counted as heard on the strength of an older source's answers: its followers took it for the coordinator, and nobody looked
-        // for another one.
-        role.wasFed = false;
+        // Answers from a source before its own term must not make it a relay: its followers would take it for the coordinator, and none
+        // would look for the new one.
+        role.hasReceivedFeed = false;
     }
     return was;
 }
--- a/Libraries/Feed/feed_timing.h
+++ b/Libraries/Feed/feed_timing.h
@@ -5,27 +5,30 @@
 
 namespace vetchpost {
 
-/// The periods of the feed, all parts of the time within which an accepted configuration has to be in force everywhere. What a follower may
-/// lag behind adds up: the source's reading, its own subscription, and the time until it asks the key-value service itself.
+/// The periods and timeouts of the feed. Each is a fraction of the time within which an accepted configuration has to be in force on every
+/// daemon, since a follower's delays add up: the source's read period, the follower's subscription period, and the delay until the follower
+/// reads the key-value service itself.
 struct feed_timing
 {
-    /// How often the source reads the configuration.
-    duration sourceReading{};
-    /// How often a follower says how far it has come ...
+    /// Interval at which the source reads the configuration.
+    duration sourceReadPeriod{};
+    /// Interval at which a follower without followers of its own sends a subscription.
     duration subscription{};
-    /// ... and one that passes the feed on.
-    duration relaySubscription{};
-    /// A source that has not answered for so long is taken for gone: two subscriptions or their answers were lost.
-    duration sourceSilence{};
-    /// A follower reads the configuration itself when it was not told for so long.
-    duration ownReading{};
-    /// ... and watches the replicas itself after this time, since the source was in contact with the service.
-    duration ownWatching{};
-    /// One that passes the feed on does both sooner, so that its followers need not.
-    duration relayReading{};
-    duration relayWatching{};
+    /// Interval at which a relay sends a subscription.
+    duration relaySubscriptionPeriod{};
+    /// A follower gives its source up after this time without an answer, in which two subscriptions or their answers were lost.
+    duration sourceTimeout{};
+    /// A follower without followers of its own reads the configuration from the key-value service after this time without news of it.
+    duration directReadDelay{};
+    /// A follower without followers of its own watches the replicas in the key-value service once the source's last known contact with the
+    /// service is this old.
+    duration directWatchDelay{};
+    /// The same delays for a relay: shorter, so that its followers need not read the service themselves.
+    duration relayReadDelay{};
+    duration relayWatchDelay{};
 };
 
+/// Returns the feed's periods for \a configurationApply, the time within which an accepted configuration has to be in force everywhere.
 inline feed_timing feedTiming(duration configurationApply)
 {
     const auto part = [&](double share) { return std::chrono::duration_cast<duration>(configurationApply * share); };
--- a/Libraries/Feed/replica_codec.cpp
+++ b/Libraries/Feed/replica_codec.cpp
@@ -5,65 +5,66 @@
 
 namespace {
 
-// The places of the values. A removed entry has the first two alone.
-enum place : Json::ArrayIndex {
-    id_place,
-    revision_place,
-    life_place,
-    service_place,
-    host_place,
-    port_place,
-    data_centre_place,
-    slots_place,
-    draining_place,
-    domain_place,
-    staged_place,
-    model_place,
-    group_place,
-    formed_place,
-    rank_place,
-    state_place,
+// Index of each value in the array. A removed entry has only the first two.
+enum value_index : Json::ArrayIndex {
+    id_index,
+    revision_index,
+    life_index,
+    service_index,
+    host_index,
+    port_index,
+    data_centre_index,
+    slots_index,
+    draining_index,
+    domain_index,
+    staged_index,
+    model_index,
+    group_index,
+    formed_index,
+    rank_index,
+    state_index,
 };
-constexpr Json::ArrayIndex removedSize = revision_place + 1;
-/// Of a replica that stands in no group.
-constexpr Json::ArrayIndex alonePlaces = model_place + 1;
-constexpr Json::ArrayIndex allPlaces = state_place + 1;
+constexpr Json::ArrayIndex removedSize = revision_index + 1;
+/// Size of the array for a replica that belongs to no group.
+constexpr Json::ArrayIndex ungroupedSize = model_index + 1;
+constexpr Json::ArrayIndex groupedSize = state_index + 1;
 constexpr std::uint64_t largestPort = 65535;
 
-bool isText(const Json::Value &json, place where)
+bool isText(const Json::Value &json, value_index index)
 {
-    return json[where].isString();
+    return json[index].isString();
 }
 
-bool isNumber(const Json::Value &json, place where)
+bool isNumber(const Json::Value &json, value_index index)
 {
-    return json[where].isUInt64();
+    return json[index].isUInt64();
 }
 
 bool isReplica(const Json::Value &json)
 {
-    const bool isWhole = json.size() == alonePlaces || json.size() == allPlaces;
-    return isWhole && isNumber(json, life_place) && isText(json, service_place) && isText(json, host_place) && isNumber(json, port_place)
-        && json[port_place].asUInt64() <= largestPort && isText(json, data_centre_place) && json[slots_place].isInt()
-        && json[draining_place].isBool() && isText(json, domain_place) && json[staged_place].isArray() && isText(json, model_place);
+    const bool hasValidSize = json.size() == ungroupedSize || json.size() == groupedSize;
+    return hasValidSize && isNumber(json, life_index) && isText(json, service_index) && isText(json, host_index)
+        && isNumber(json, port_index) && json[port_index].asUInt64() <= largestPort && isText(json, data_centre_index)
+        && json[slots_index].isInt() && json[draining_index].isBool() && isText(json, domain_index) && json[staged_index].isArray()
+        && isText(json, model_index);
 }
 
-std::optional<group_membership> decodedMembership(const Json::Value &json)
+std::optional<group_membership> decodeMembership(const Json::Value &json)
 {
-    const bool isGood = isText(json, group_place) && isNumber(json, formed_place) && json[rank_place].isInt() && json[state_place].isInt()
-        && json[state_place].asInt() >= 0 && json[state_place].asInt() <= static_cast<int>(member_state::broken);
-    if (!isGood) {
+    const bool isValid = isText(json, group_index) && isNumber(json, formed_index) && json[rank_index].isInt() && json[state_index].isInt()
+        && json[state_index].asInt() >= 0 && json[state_index].asInt() <= static_cast<int>(member_state::broken);
+    if (!isValid) {
         return std::nullopt;
     }
-    return group_membership{group_id(json[group_place].asString()),
-                            formation(json[formed_place].asUInt64()),
-                            json[rank_place].asInt(),
-                            static_cast<member_state>(json[state_place].asInt())};
+    return group_membership{group_id(json[group_index].asString()),
+                            formation(json[formed_index].asUInt64()),
+                            json[rank_index].asInt(),
+                            static_cast<member_state>(json[state_index].asInt())};
 }
 
 } // namespace
 
-Json::Value encodedChange(const replica_change &change)
+Json::Value encodeChange(const replica_change &change)
 {
     Json::Value json(Json::arrayValue);
     json.append(change.id.value());
@@ -95,12 +96,12 @@
     return json;
 }
 
-std::optional<replica_change> decodedChange(const Json::Value &json)
+std::optional<replica_change> decodeChange(const Json::Value &json)
 {
-    if (!json.isArray() || json.size() < removedSize || !isText(json, id_place) || !isNumber(json, revision_place)) {
+    if (!json.isArray() || json.size() < removedSize || !isText(json, id_index) || !isNumber(json, revision_index)) {
         return std::nullopt;
     }
-    replica_change change{instance_id(json[id_place].asString()), json[revision_place].asUInt64(), std::nullopt};
+    replica_change change{instance_id(json[id_index].asString()), json[revision_index].asUInt64(), std::nullopt};
     if (json.size() == removedSize) {
         return change;
     }
@@ -109,21 +110,21 @@
     }
     served_replica replica;
     replica.id = change.id;
-    replica.life = replica_life(json[life_place].asUInt64());
-    replica.service = service_id(json[service_place].asString());
-    replica.address = {json[host_place].asString(), static_cast<std::uint16_t>(json[port_place].asUInt())};
-    replica.dataCentre = data_centre_id(json[data_centre_place].asString());
-    replica.slots = json[slots_place].asInt();
-    replica.isDraining = json[draining_place].asBool();
-    replica.domain = fabric_domain_id(json[domain_place].asString());
-    for (const auto &model : json[staged_place]) {
+    replica.life = replica_life(json[life_index].asUInt64());
+    replica.service = service_id(json[service_index].asString());
+    replica.address = {json[host_index].asString(), static_cast<std::uint16_t>(json[port_index].asUInt())};
+    replica.dataCentre = data_centre_id(json[data_centre_index].asString());
+    replica.slots = json[slots_index].asInt();
+    replica.isDraining = json[draining_index].asBool();
+    replica.domain = fabric_domain_id(json[domain_index].asString());
+    for (const auto &model : json[staged_index]) {
         replica.staged.emplace_back(model.isString() ? model.asString() : std::string());
     }
-    if (const auto model = json[model_place].asString(); !model.empty()) {
+    if (const auto model = json[model_index].asString(); !model.empty()) {
         replica.model = model_id(model);
     }
-    if (json.size() == allPlaces) {
-        replica.membership = decodedMembership(json);
+    if (json.size() == groupedSize) {
+        replica.membership = decodeMembership(json);
         if (!replica.membership) {
             return std::nullopt;
         }
--- a/Libraries/Feed/replica_codec.h
+++ b/Libraries/Feed/replica_codec.h
@@ -7,9 +7,9 @@
 
 namespace vetchpost {
 
-/// A change of a replica's entry as a list of values without names, so that several fit into one datagram.
-Json::Value encodedChange(const replica_change &change);
-/// Nothing where the value is no change.
-std::optional<replica_change> decodedChange(const Json::Value &json);
+/// Encodes a change of a replica's entry as an array of values without names, so that several changes fit into one datagram.
+Json::Value encodeChange(const replica_change &change);
+/// Returns the change, or nothing if the value is not a valid one.
+std::optional<replica_change> decodeChange(const Json::Value &json);
 
 } // namespace vetchpost
--- a/Libraries/Feed/report_codec.cpp
+++ b/Libraries/Feed/report_codec.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Names are short: suspects fill most of a datagram.
+// The names are short because a datagram holds several reports.
 constexpr auto requestField = "req";
 constexpr auto organisationField = "org";
 constexpr auto endsField = "ends";
@@ -20,40 +20,40 @@
 
 } // namespace
 
-Json::Value encodedEvidence(const crash_evidence &evidence)
+Json::Value encodeSuspectReport(const crash_evidence &report)
 {
     Json::Value json;
-    json[requestField] = evidence.request.value();
-    json[organisationField] = evidence.organisation.value();
-    json[roundField] = Json::UInt64(evidence.round);
-    json[ageField] = Json::Int64(evidence.age.count());
-    for (const auto end : evidence.ends) {
+    json[requestField] = report.request.value();
+    json[organisationField] = report.organisation.value();
+    json[roundField] = Json::UInt64(report.round);
+    json[ageField] = Json::Int64(report.age.count());
+    for (const auto end : report.ends) {
         json[endsField].append(Json::UInt64(end.value()));
     }
     return json;
 }
 
-std::optional<crash_evidence> decodedEvidence(const Json::Value &json)
+std::optional<crash_evidence> decodeSuspectReport(const Json::Value &json)
 {
     if (!json.isObject()) {
         return std::nullopt;
     }
-    crash_evidence evidence;
-    evidence.request = request_identity(jsonString(json, requestField));
-    evidence.organisation = organisation_id(jsonString(json, organisationField));
-    evidence.round = jsonNumber(json, roundField);
-    evidence.age = duration(static_cast<std::int64_t>(jsonNumber(json, ageField)));
+    crash_evidence report;
+    report.request = request_identity(jsonString(json, requestField));
+    report.organisation = organisation_id(jsonString(json, organisationField));
+    report.round = jsonNumber(json, roundField);
+    report.age = duration(static_cast<std::int64_t>(jsonNumber(json, ageField)));
     for (const auto &end : jsonArray(json, endsField)) {
         if (!end.isUInt64()) {
             return std::nullopt;
         }
-        evidence.ends.emplace_back(end.asUInt64());
+        report.ends.emplace_back(end.asUInt64());
     }
-    const bool isGood = !evidence.request.isEmpty() && evidence.age >= duration() && evidence.ends.size() <= mostEndsKept;
-    return isGood ? std::optional(std::move(evidence)) : std::nullopt;
+    const bool isValid = !report.request.isEmpty() && report.age >= duration() && report.ends.size() <= mostEndsKept;
+    return isValid ? std::optional(std::move(report)) : std::nullopt;
 }
 
-Json::Value encodedConstraint(const constraint_report &report)
+Json::Value encodeConstraintReport(const constraint_report &report)
 {
     Json::Value json;
     json[replicaField] = report.replica.replica.value();
@@ -66,7 +66,7 @@
     return json;
 }
 
-std::optional<constraint_report> decodedConstraint(const Json::Value &json)
+std::optional<constraint_report> decodeConstraintReport(const Json::Value &json)
 {
     if (!json.isObject()) {
         return std::nullopt;
@@ -82,8 +82,8 @@
         }
         report.rateLimit = limit.asDouble();
     }
-    const bool isGood = !report.replica.replica.isEmpty() && report.rateAge >= duration();
-    return isGood ? std::optional(std::move(report)) : std::nullopt;
+    const bool isValid = !report.replica.replica.isEmpty() && report.rateAge >= duration();
+    return isValid ? std::optional(std::move(report)) : std::nullopt;
 }
 
 } // namespace vetchpost
--- a/Libraries/Feed/report_codec.h
+++ b/Libraries/Feed/report_codec.h
@@ -10,13 +10,14 @@
 
 namespace vetchpost {
 
-/// What is known of a suspect as it stands in a datagram and in what the key-value service keeps.
-Json::Value encodedEvidence(const crash_evidence &evidence);
-/// Nothing where it is no evidence.
-std::optional<crash_evidence> decodedEvidence(const Json::Value &json);
+/// Encodes a report on a suspected request, for datagrams and for the key-value service.
+Json::Value encodeSuspectReport(const crash_evidence &report);
+/// Returns the report, or nothing if the value is not a valid one.
+std::optional<crash_evidence> decodeSuspectReport(const Json::Value &json);
 
-Json::Value encodedConstraint(const constraint_report &report);
-/// Nothing where it is no report, or one that no daemon would make.
-std::optional<constraint_report> decodedConstraint(const Json::Value &json);
+/// Encodes a report on a replica's constraints, for datagrams.
+Json::Value encodeConstraintReport(const constraint_report &report);
+/// Returns the report, or nothing if the value is not a report or holds values out of range.
+std::optional<constraint_report> decodeConstraintReport(const Json::Value &json);
 
 } // namespace vetchpost
--- a/Tests/Feed/limitWorld.cpp
+++ b/Tests/Feed/limitSimulation.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Tests/Feed/limitWorld.h"
+#include "Tests/Feed/limitSimulation.h"
 
 #include <algorithm>
 
@@ -10,19 +10,20 @@
 const replica_key replica{instance_id("i-1"), replica_life(7)};
 constexpr duration window(4000);
 constexpr duration contactTime(3000);
-/// All daemons have heard of the limit by then.
-constexpr duration spreadTime(1000);
-/// A daemon counts as told so long after it has passed on an answer.
-constexpr duration toldAfter(500);
+/// All daemons have learned of the limit within this time.
+constexpr duration propagationTime(1000);
+/// A daemon counts as informed this long after it has relayed the first answer that named a limit.
+constexpr duration informedDelay(500);
 constexpr double ticksPerSecond = 100;
-/// One request in ten needs a connection that is slow to come up.
-constexpr int slowConnections = 10;
-constexpr int longestConnect = 250;
-constexpr int usualConnect = 5;
+/// One request in this number needs a connection that is slow to be established.
+constexpr int slowConnectionInterval = 10;
+/// In milliseconds.
+constexpr int maxConnectTime = 250;
+constexpr int usualConnectTime = 5;
 
 } // namespace
 
-limit_world::limit_world(int daemons, double perSecond, unsigned seed)
+limit_simulation::limit_simulation(int daemons, double perSecond, unsigned seed)
     : m_feed(daemons, 3)
     , m_perSecond(perSecond)
     , m_random(seed)
@@ -32,24 +33,24 @@
     m_feed.didReceive = [this](int daemon, const endpoint &from, const feed_message &message) { receive(daemon, from, message); };
 }
 
-void limit_world::advance(duration time)
+void limit_simulation::advance(duration time)
 {
     m_feed.advance(time);
 }
 
-void limit_world::nameLimit(std::optional<double> limit)
+void limit_simulation::setNamedLimit(std::optional<double> limit)
 {
     m_limit = limit;
     m_firstNamed = m_firstNamed.value_or(m_feed.now());
 }
 
-void limit_world::restart(int daemon)
+void limit_simulation::restart(int daemon)
 {
     m_nodes[static_cast<std::size_t>(daemon)] = {};
     m_feed.restart(daemon);
 }
 
-double limit_world::allowed(double limit)
+double limit_simulation::allowedRequests(double limit)
 {
     constexpr double windowSeconds = 4;
     constexpr double factor = 1.5;
@@ -57,26 +58,26 @@
     return limit * windowSeconds * factor + slack;
 }
 
-int limit_world::mostFromTold() const
+int limit_simulation::maxFromInformed() const
 {
-    return mostOf(false);
+    return maxInWindow(false);
 }
 
-int limit_world::mostFromAll() const
+int limit_simulation::maxFromAll() const
 {
-    return mostOf(true);
+    return maxInWindow(true);
 }
 
-int limit_world::mostOf(bool fromAll) const
+int limit_simulation::maxInWindow(bool fromAll) const
 {
     int most = 0;
     for (auto last = m_arrivals.begin(); last != m_arrivals.end(); ++last) {
-        const bool isJudged = m_firstNamed && last->at >= *m_firstNamed + contactTime;
-        if (!isJudged) {
+        const bool isChecked = m_firstNamed && last->at >= *m_firstNamed + contactTime;
+        if (!isChecked) {
             continue;
         }
         const auto count = std::count_if(m_arrivals.begin(), last + 1, [&](const arrival &next) {
-            const bool isCounted = fromAll ? next.at >= *m_firstNamed + spreadTime : next.isTold;
+            const bool isCounted = fromAll ? next.at >= *m_firstNamed + propagationTime : next.isFromInformed;
             return isCounted && last->at - next.at < window;
         });
         most = std::max(most, static_cast<int>(count));
@@ -84,13 +85,13 @@
     return most;
 }
 
-int limit_world::reachedInLast(duration time) const
+int limit_simulation::arrivalsInLast(duration time) const
 {
     return static_cast<int>(
         std::count_if(m_arrivals.begin(), m_arrivals.end(), [&](const arrival &next) { return m_feed.now() - next.at <= time; }));
 }
 
-int limit_world::informed() const
+int limit_simulation::informedDaemons() const
 {
     return static_cast<int>(std::count_if(m_nodes.begin(), m_nodes.end(), [](const node &next) {
         const auto *known = findConstraint(next.table, replica);
@@ -98,19 +99,19 @@
     }));
 }
 
-void limit_world::tellLeaving(int daemon)
+void limit_simulation::announceDeparture(int daemon)
 {
     replica_notice notice;
     notice.isLeaving = true;
     noteAnswer(m_nodes[static_cast<std::size_t>(daemon)].table, replica, notice, m_feed.now());
 }
 
-void limit_world::readDeparture(int daemon)
+void limit_simulation::readDeparture(int daemon)
 {
     noteDepartures(m_nodes[static_cast<std::size_t>(daemon)].table, {replica}, m_feed.now());
 }
 
-std::optional<duration> limit_world::allKnowLeavingAfter(duration longest)
+std::optional<duration> limit_simulation::timeUntilDepartureKnown(duration longest)
 {
     constexpr duration step(10);
     const auto begin = m_feed.now();
@@ -126,10 +127,10 @@
     return std::nullopt;
 }
 
-void limit_world::tick(int daemon)
+void limit_simulation::tick(int daemon)
 {
     if (daemon == 0) {
-        deliver();
+        deliverInFlight();
     }
     auto &next = m_nodes[static_cast<std::size_t>(daemon)];
     const bool isSource = m_feed.isSource(daemon);
@@ -137,54 +138,56 @@
         next.wasSource = isSource;
         next.issuer = {};
     }
-    for (const auto &datagram : listsDue(next.spread, next.table, m_feed.sourceOf(daemon), m_feed.followersOf(daemon), m_feed.now())) {
+    for (const auto &datagram :
+         collectDueBatches(next.sync, next.table, m_feed.sourceOf(daemon), m_feed.followersOf(daemon), m_feed.now())) {
         m_feed.send(daemon, datagram);
     }
     const auto probability = m_perSecond / ticksPerSecond / static_cast<double>(m_nodes.size());
     for (int left = std::poisson_distribution<int>(probability)(m_random); left > 0; --left) {
-        takeRequest(daemon);
+        routeRequest(daemon);
     }
 }
 
-void limit_world::receive(int daemon, const endpoint &from, const feed_message &message)
+void limit_simulation::receive(int daemon, const endpoint &from, const feed_message &message)
 {
     auto &next = m_nodes[static_cast<std::size_t>(daemon)];
-    if (const auto *list = std::get_if<constraint_list>(&message)) {
-        m_feed.send(daemon, takeList(next.spread, next.table, *list, from, m_feed.now()));
-    } else if (const auto *receipt = std::get_if<constraint_receipt>(&message)) {
-        takeReceipt(next.spread, *receipt, from);
-    } else if (const auto *question = std::get_if<permit_question>(&message); question != nullptr && m_feed.isSource(daemon)) {
-        m_feed.send(daemon, {{from}, issue(daemon, *question, from)});
+    if (const auto *batch = std::get_if<constraint_batch>(&message)) {
+        m_feed.send(daemon, applyBatch(next.sync, next.table, *batch, from, m_feed.now()));
+    } else if (const auto *ack = std::get_if<constraint_ack>(&message)) {
+        applyAck(next.sync, *ack, from);
+    } else if (const auto *permitRequest = std::get_if<permit_question>(&message); permitRequest != nullptr && m_feed.isSource(daemon)) {
+        m_feed.send(daemon, {{from}, issueAtSource(daemon, *permitRequest, from)});
     } else if (const auto *answer = std::get_if<permit_answer>(&message)) {
         takeAnswer(next.wallet, *answer, m_feed.now());
     }
 }
 
-permit_answer limit_world::issue(int daemon, const permit_question &question, const endpoint &asker)
+permit_answer limit_simulation::issueAtSource(int daemon, const permit_question &permitRequest, const endpoint &asker)
 {
     auto &source = m_nodes[static_cast<std::size_t>(daemon)];
-    return answerQuestion(source.issuer, source.table, question, asker, m_feed.now());
+    return answerQuestion(source.issuer, source.table, permitRequest, asker, m_feed.now());
 }
 
-void limit_world::ask(int daemon, const permit_question &question)
+void limit_simulation::requestPermits(int daemon, const permit_question &permitRequest)
 {
-    ++m_questions;
+    ++m_permitRequests;
     if (m_feed.isSource(daemon)) {
-        takeAnswer(m_nodes[static_cast<std::size_t>(daemon)].wallet, issue(daemon, question, m_feed.addressOf(daemon)), m_feed.now());
+        takeAnswer(
+            m_nodes[static_cast<std::size_t>(daemon)].wallet, issueAtSource(daemon, permitRequest, m_feed.addressOf(daemon)), m_feed.now());
     } else if (const auto origin = m_feed.originOf(daemon)) {
-        m_feed.send(daemon, {{*origin}, question});
+        m_feed.send(daemon, {{*origin}, permitRequest});
     }
 }
 
-/// The request goes elsewhere where the replica is closed to it.
-void limit_world::takeRequest(int daemon)
+/// Sends a request to the replica, unless the replica is closed to it or a permit is missing.
+void limit_simulation::routeRequest(int daemon)
 {
     auto &next = m_nodes[static_cast<std::size_t>(daemon)];
     const auto now = m_feed.now();
     if (closureOf(next.table, next.wallet, replica, now).cause == closure_cause::limit) {
-        if (auto question = wantPermit(next.wallet, replica, now)) {
-            question->report = evidenceOf(replica, *findConstraint(next.table, replica), now);
-            ask(daemon, *question);
+        if (auto permitRequest = wantPermit(next.wallet, replica, now)) {
+            permitRequest->report = evidenceOf(replica, *findConstraint(next.table, replica), now);
+            requestPermits(daemon, *permitRequest);
         }
     }
     const auto closure = closureOf(next.table, next.wallet, replica, now);
@@ -192,30 +195,30 @@
         return;
     }
     takePermit(next.wallet, replica, now);
-    const bool isSlow = m_random() % slowConnections == 0;
-    const auto way = duration(isSlow ? m_random() % longestConnect : usualConnect);
-    m_sent.push_back({now + way, daemon});
+    const bool isSlow = m_random() % slowConnectionInterval == 0;
+    const auto transit = duration(isSlow ? m_random() % maxConnectTime : usualConnectTime);
+    m_inFlight.push_back({now + transit, daemon});
 }
 
-/// What has arrived at the replica, and its answers.
-void limit_world::deliver()
+/// Delivers the replica's answers to the daemons, and the requests that have arrived to the replica.
+void limit_simulation::deliverInFlight()
 {
     const auto now = m_feed.now();
-    std::erase_if(m_answers, [&](const pending_answer &answer) {
+    std::erase_if(m_answers, [&](const pending_response &answer) {
         if (m_feed.isSuspended(answer.daemon)) {
             return false;
         }
         auto &next = m_nodes[static_cast<std::size_t>(answer.daemon)];
         noteAnswer(next.table, replica, answer.notice, now);
-        next.toldAt = answer.notice.rateLimit ? next.toldAt.value_or(now) : next.toldAt;
+        next.informedAt = answer.notice.rateLimit ? next.informedAt.value_or(now) : next.informedAt;
         return true;
     });
-    std::erase_if(m_sent, [&](const sent_request &request) {
+    std::erase_if(m_inFlight, [&](const sent_request &request) {
         if (request.arrives > now) {
             return false;
         }
-        const auto &toldAt = m_nodes[static_cast<std::size_t>(request.daemon)].toldAt;
-        m_arrivals.push_back({now, toldAt && now - *toldAt >= toldAfter});
+        const auto &informedAt = m_nodes[static_cast<std::size_t>(request.daemon)].informedAt;
+        m_arrivals.push_back({now, informedAt && now - *informedAt >= informedDelay});
         replica_notice notice;
         notice.rateLimit = m_limit;
         notice.tellsAll = true;
--- a/Tests/Feed/testFeedRelays.cpp
+++ b/Tests/Feed/testFeedRelays.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// What the feed costs and does with many daemons, by the code that the daemons run.
-#include "Tests/Feed/feedWorld.h"
+// The feed's traffic and behaviour with many daemons, simulated with the code that the daemons run.
+#include "Tests/Feed/feedSimulation.h"
 
 #include <catch2/catch.hpp>
 
@@ -13,157 +13,158 @@
 
 constexpr int dataCentres = 5;
 constexpr duration measuredTime(10000);
-/// What replicas that are lost and replaced, and their groups, write on a calm day.
+/// Rate at which replicas that are lost and replaced, and their groups, write entries in normal operation.
 constexpr int changesPerSecond = 60;
 
-/// Lets replicas change for a while.
-void play(feed_world &world, duration time)
+/// Advances the time while replicas' entries change.
+void runWithChanges(feed_simulation &simulation, duration time)
 {
     for (duration passed{}; passed < time; passed += duration(1000) / changesPerSecond) {
-        world.change();
-        world.advance(duration(1000) / changesPerSecond);
+        simulation.changeReplica();
+        simulation.advance(duration(1000) / changesPerSecond);
     }
 }
 
-feed_world settledWorld(int daemons)
+feed_simulation settledSimulation(int daemons)
 {
-    feed_world world(daemons, dataCentres);
-    play(world, duration(8000));
-    world.resetTraffic();
-    return world;
+    feed_simulation simulation(daemons, dataCentres);
+    runWithChanges(simulation, duration(8000));
+    simulation.resetTraffic();
+    return simulation;
 }
 
 } // namespace
 
-// A follower that is served directly costs the source 99 KB in ten seconds here (the line of 9 daemons): 194 of them are 15 Mbit/s, beside
-// a small instance's link of 20. With relays the source sends 1.5 MB in ten seconds at 195 daemons, 1.2 Mbit/s, and 2.6 MB at 350.
-TEST_CASE("What the source sends grows far slower than the daemons, and a relay sends no more than it")
+// Without relays the source of 195 daemons would send about 15 Mbit/s (99 KB in ten seconds to each of 194 followers), while a small
+// instance's link has 20 Mbit/s.
+TEST_CASE("The source's traffic grows far more slowly than the number of daemons, and a relay's traffic is bounded")
 {
-    std::map<int, feed_world::traffic> source;
-    for (const int daemons : {9, mostServedDirectly, 79, 195, 350}) {
-        auto world = settledWorld(daemons);
-        play(world, measuredTime);
-        source[daemons] = world.sentBy(0);
-        const auto most = world.mostSentByFollower();
-        INFO(daemons << " daemons, " << world.directFollowers() << " served directly");
-        std::cout << daemons << " daemons: " << world.directFollowers() << " served directly; in ten seconds the source sent "
-                  << world.sentBy(0).datagrams << " datagrams and " << world.sentBy(0).bytes << " bytes, a relay at most " << most.datagrams
-                  << " and " << most.bytes << "\n";
-        CHECK(world.daemonsCounted() == daemons);
-        CHECK(world.directFollowers() <= 2 * followersPerRelay(daemons));
+    std::map<int, feed_simulation::traffic> source;
+    for (const int daemons : {9, maxDaemonsWithoutRelays, 79, 195, 350}) {
+        auto simulation = settledSimulation(daemons);
+        runWithChanges(simulation, measuredTime);
+        source[daemons] = simulation.sentBy(0);
+        const auto most = simulation.maxSentByFollower();
+        INFO(daemons << " daemons, " << simulation.directFollowerCount() << " served directly");
+        std::cout << daemons << " daemons: " << simulation.directFollowerCount() << " served directly; in ten seconds the source sent "
+                  << simulation.sentBy(0).datagrams << " datagrams and " << simulation.sentBy(0).bytes << " bytes, a relay at most "
+                  << most.datagrams << " and " << most.bytes << "\n";
+        CHECK(simulation.countedDaemons() == daemons);
+        CHECK(simulation.directFollowerCount() <= 2 * followersPerRelay(daemons));
         CHECK(most.bytes < 2'000'000);
-        CHECK(world.lost() == 0);
-        world.advance(duration(1000));
-        CHECK(world.haveAllChanges());
+        CHECK(simulation.daemonsWithoutSource() == 0);
+        simulation.advance(duration(1000));
+        CHECK(simulation.areAllUpToDate());
     }
-    CHECK(source.at(350).bytes < 2 * source.at(mostServedDirectly).bytes);
+    CHECK(source.at(350).bytes < 2 * source.at(maxDaemonsWithoutRelays).bytes);
     CHECK(source.at(195).bytes < 2'000'000);
 }
 
-TEST_CASE("Behind a relay the configuration is known as the newest in time, so that nobody reads it himself")
+TEST_CASE("Followers of a relay learn in time that their configuration is the newest, so that none reads it itself")
 {
-    auto world = settledWorld(195);
-    play(world, measuredTime);
-    CHECK(world.oldestConfigurationSeen() < feedTiming(duration(4000)).ownReading);
+    auto simulation = settledSimulation(195);
+    runWithChanges(simulation, measuredTime);
+    CHECK(simulation.peakConfigurationAge() < feedTiming(duration(4000)).directReadDelay);
 }
 
-TEST_CASE("Followers of a relay that falls silent find another")
+TEST_CASE("Followers of a silent relay find another one")
 {
-    auto world = settledWorld(195);
+    auto simulation = settledSimulation(195);
     int relay = 0;
-    for (int number = 1; number < world.daemons(); ++number) {
-        relay = world.sentBy(number).datagrams > world.sentBy(relay).datagrams || relay == 0 ? number : relay;
+    for (int number = 1; number < simulation.daemons(); ++number) {
+        relay = simulation.sentBy(number).datagrams > simulation.sentBy(relay).datagrams || relay == 0 ? number : relay;
     }
-    play(world, duration(1000));
-    world.cutOff(relay);
-    play(world, duration(8000));
-    CHECK(world.lost() == 0);
-    CHECK(world.daemonsCounted() == 194);
-    world.advance(duration(1000));
-    CHECK(world.haveAllChanges());
+    runWithChanges(simulation, duration(1000));
+    simulation.disconnect(relay);
+    runWithChanges(simulation, duration(8000));
+    CHECK(simulation.daemonsWithoutSource() == 0);
+    CHECK(simulation.countedDaemons() == 194);
+    simulation.advance(duration(1000));
+    CHECK(simulation.areAllUpToDate());
 }
 
-TEST_CASE("When the source falls silent only the relays look for another, and their followers stay")
+TEST_CASE("When the source falls silent only its direct followers look for another one, and the followers of relays stay")
 {
-    auto world = settledWorld(195);
-    const auto direct = world.directFollowers();
-    world.cutOff(0);
-    world.advance(duration(4000));
-    CHECK(world.lost() <= direct);
-    world.elect(1);
-    world.advance(duration(5000));
-    CHECK(world.lost() == 0);
-    CHECK(world.daemonsCounted() == 194);
-    play(world, duration(3000));
-    world.advance(duration(1000));
-    CHECK(world.haveAllChanges());
-    CHECK(world.directFollowers() <= 2 * followersPerRelay(195));
+    auto simulation = settledSimulation(195);
+    const auto direct = simulation.directFollowerCount();
+    simulation.disconnect(0);
+    simulation.advance(duration(4000));
+    CHECK(simulation.daemonsWithoutSource() <= direct);
+    simulation.makeSource(1);
+    simulation.advance(duration(5000));
+    CHECK(simulation.daemonsWithoutSource() == 0);
+    CHECK(simulation.countedDaemons() == 194);
+    runWithChanges(simulation, duration(3000));
+    simulation.advance(duration(1000));
+    CHECK(simulation.areAllUpToDate());
+    CHECK(simulation.directFollowerCount() <= 2 * followersPerRelay(195));
 }
 
-// A daemon that had followed others became the coordinator, and was cut off from the key-value service. As its lease ended it told its
-// followers, who read its address in the service once more; it had been fed before, so it answered them as a relay does. They took it for
-// the coordinator: for seven seconds nobody looked for another one, and no group was repaired.
-TEST_CASE("A daemon whose term has ended does not pass for the coordinator, though it had followed another one before")
+// A daemon that has followed another source becomes the coordinator and then loses the key-value service. When its lease ends it notifies
+// its followers, which still read its address in the service and subscribe to it again. If it answered them as a relay, since it has
+// received a feed before, they would take it for the coordinator: for seven seconds none would look for another one, and no group would be
+// repaired.
+TEST_CASE("A daemon whose term has ended is not taken for the coordinator, even if it followed another one before")
 {
     for (const int daemons : {9, 79, 195}) {
         CAPTURE(daemons);
-        auto world = settledWorld(daemons);
-        world.cutOff(0);
-        world.advance(duration(4000));
-        world.elect(1);
-        world.advance(duration(5000));
-        REQUIRE(world.lost() == 0);
-        const auto direct = world.directFollowers();
-        world.endTerm(1);
-        world.advance(duration(100));
-        world.pointTo(1);
-        world.advance(duration(1500));
-        // Those that it served look for a successor.
-        CHECK(world.lost() >= direct);
-        world.elect(2);
-        world.advance(duration(5000));
-        CHECK(world.lost() == 0);
-        CHECK(world.daemonsCounted() == daemons - 1);
+        auto simulation = settledSimulation(daemons);
+        simulation.disconnect(0);
+        simulation.advance(duration(4000));
+        simulation.makeSource(1);
+        simulation.advance(duration(5000));
+        REQUIRE(simulation.daemonsWithoutSource() == 0);
+        const auto direct = simulation.directFollowerCount();
+        simulation.stepDown(1);
+        simulation.advance(duration(100));
+        simulation.announceCoordinator(1);
+        simulation.advance(duration(1500));
+        // The daemons that it served look for a successor.
+        CHECK(simulation.daemonsWithoutSource() >= direct);
+        simulation.makeSource(2);
+        simulation.advance(duration(5000));
+        CHECK(simulation.daemonsWithoutSource() == 0);
+        CHECK(simulation.countedDaemons() == daemons - 1);
     }
 }
 
-TEST_CASE("Few daemons are all served by the source")
+TEST_CASE("With few daemons the source serves all of them directly")
 {
-    auto world = settledWorld(mostServedDirectly);
-    CHECK(world.directFollowers() == mostServedDirectly - 1);
+    auto simulation = settledSimulation(maxDaemonsWithoutRelays);
+    CHECK(simulation.directFollowerCount() == maxDaemonsWithoutRelays - 1);
 }
 
-TEST_CASE("An update that went round in a circle counts for nothing")
+TEST_CASE("An update that travels in a loop is ignored")
 {
     feed_follower follower;
     const instant now(duration(1000000));
     feed_update update;
-    update.nonce = subscribe(follower, daemon_id("d1"), 0, true, now).nonce;
-    update.origin.hops = mostHops + 1;
-    CHECK_FALSE(noteUpdate(follower, update, now));
-    update.origin.hops = mostHops;
-    CHECK(noteUpdate(follower, update, now));
+    update.nonce = makeSubscription(follower, daemon_id("d1"), 0, true, now).nonce;
+    update.origin.hops = maxHops + 1;
+    CHECK_FALSE(acceptUpdate(follower, update, now));
+    update.origin.hops = maxHops;
+    CHECK(acceptUpdate(follower, update, now));
 }
 
-TEST_CASE("Only the coordinator that is asked may name a relay")
+TEST_CASE("Only the coordinator that a follower subscribes to may refer it to a relay")
 {
     feed_follower follower;
     const instant now(duration(1000000));
     const endpoint coordinator{"10.0.0.1", 1};
     const endpoint relay{"10.0.0.2", 1};
     follow(follower, coordinator, now);
-    CHECK_FALSE(takeReferral(follower, relay, relay, now));
-    CHECK(takeReferral(follower, coordinator, relay, now));
+    CHECK_FALSE(acceptReferral(follower, relay, relay, now));
+    CHECK(acceptReferral(follower, coordinator, relay, now));
     CHECK(follower.source == relay);
-    // A relay may not send it on.
-    CHECK_FALSE(takeReferral(follower, relay, coordinator, now));
-    CHECK(loseSource(follower, now));
+    // A relay may not refer the follower further.
+    CHECK_FALSE(acceptReferral(follower, relay, coordinator, now));
+    CHECK(dropSource(follower, now));
     CHECK(follower.source == coordinator);
-    CHECK_FALSE(loseSource(follower, now));
+    CHECK_FALSE(dropSource(follower, now));
     CHECK_FALSE(follower.source);
 }
 
-TEST_CASE("A follower of a relay that becomes the coordinator takes its referrals")
+TEST_CASE("A follower of a relay that becomes the coordinator accepts its referrals")
 {
     feed_follower follower;
     const instant now(duration(1000000));
@@ -171,32 +172,32 @@
     const endpoint relay{"10.0.0.2", 1};
     const endpoint other{"10.0.0.3", 1};
     follow(follower, first, now);
-    REQUIRE(takeReferral(follower, first, relay, now));
+    REQUIRE(acceptReferral(follower, first, relay, now));
     feed_update update;
-    update.nonce = subscribe(follower, daemon_id("d1"), 0, true, now).nonce;
+    update.nonce = makeSubscription(follower, daemon_id("d1"), 0, true, now).nonce;
     update.origin = {relay, 0};
-    REQUIRE(noteUpdate(follower, update, now));
+    REQUIRE(acceptUpdate(follower, update, now));
     CHECK(follower.coordinator == relay);
-    CHECK(takeReferral(follower, relay, other, now));
+    CHECK(acceptReferral(follower, relay, other, now));
 }
 
-TEST_CASE("A follower that is sent to a relay is told of no changes, however far it is behind")
+TEST_CASE("A follower that is referred to a relay receives no changes from the source, however far behind it is")
 {
-    feed_source source;
+    feed_publisher publisher;
     const instant now(duration(1000000));
     std::vector<replica_change> changes;
     for (std::uint64_t revision = 1; revision <= 200; ++revision) {
         changes.push_back({instance_id("i-" + std::to_string(revision)), revision, served_replica()});
     }
-    noteListing(source, {}, 0, true);
-    noteChanges(source, changes, 200);
-    source.completeAfter = 0;
+    applyListing(publisher, {}, 0, true);
+    applyChanges(publisher, changes, 200);
+    publisher.completeAfter = 0;
     for (int number = 0; number < 40; ++number) {
         feed_subscription subscription{daemon_id("d" + std::to_string(number)), 1, 0, true, {}, data_centre_id("x")};
         const endpoint address{"10.0.0.1", static_cast<std::uint16_t>(1000 + number)};
-        const auto answer = answerOrRefer(source, subscription, address, now);
+        const auto answer = answerOrRefer(publisher, subscription, address, now);
         const bool isReferred = std::holds_alternative<feed_referral>(answer.back().message);
-        CHECK(isReferred == !source.subscribers.contains(subscription.from));
+        CHECK(isReferred == !publisher.subscribers.contains(subscription.from));
         if (isReferred) {
             REQUIRE(answer.size() == 2);
             const auto &update = std::get<feed_update>(answer.front().message);
@@ -205,32 +206,32 @@
             CHECK_FALSE(update.isHistoryLost);
         }
     }
-    CHECK(source.subscribers.size() <= 18);
+    CHECK(publisher.subscribers.size() <= 18);
 }
 
-// A source that was held up answers late. What it tells is still true, counted from when it was asked.
-TEST_CASE("An answer that took long counts, as long as its question is not forgotten")
+// A delayed source answers late. Its update is still valid, counted from when the subscription was sent.
+TEST_CASE("A late answer is accepted as long as its subscription is remembered")
 {
     feed_follower follower;
     const instant now(duration(1000000));
-    const auto first = subscribe(follower, daemon_id("d1"), 0, true, now);
+    const auto first = makeSubscription(follower, daemon_id("d1"), 0, true, now);
     for (int number = 1; number < 20; ++number) {
-        subscribe(follower, daemon_id("d1"), 0, true, now + duration(320) * number);
+        makeSubscription(follower, daemon_id("d1"), 0, true, now + duration(320) * number);
     }
     feed_update update;
     update.nonce = first.nonce;
-    CHECK(noteUpdate(follower, update, now + duration(6400)) == now);
+    CHECK(acceptUpdate(follower, update, now + duration(6400)) == now);
 }
 
-TEST_CASE("Nobody is referred to a relay that is about to end")
+TEST_CASE("No follower is referred to a relay that is shutting down")
 {
-    feed_source source;
+    feed_publisher publisher;
     const instant now(duration(1000000));
     const auto ask = [&](int number, bool isEnding) {
         feed_subscription subscription{daemon_id("d" + std::to_string(number)), 1, 0, true, {}, data_centre_id("x")};
         subscription.isEnding = isEnding;
         const endpoint address{"10.0.0.1", static_cast<std::uint16_t>(1000 + number)};
-        const auto answer = answerOrRefer(source, subscription, address, now);
+        const auto answer = answerOrRefer(publisher, subscription, address, now);
         const auto *referral = std::get_if<feed_referral>(&answer.back().message);
         return referral == nullptr ? 0 : referral->relay.port - 1000;
     };
@@ -238,42 +239,42 @@
         ask(number, false);
     }
     const auto relay = ask(30, false);
-    REQUIRE(source.subscribers.at(daemon_id("d" + std::to_string(relay))).isRelay);
+    REQUIRE(publisher.subscribers.at(daemon_id("d" + std::to_string(relay))).isRelay);
     CHECK(ask(relay, true) == 0);
-    CHECK_FALSE(source.subscribers.at(daemon_id("d" + std::to_string(relay))).isRelay);
+    CHECK_FALSE(publisher.subscribers.at(daemon_id("d" + std::to_string(relay))).isRelay);
     for (int number = 31; number < 60; ++number) {
         CHECK(ask(number, false) != relay);
     }
 }
 
-// A daemon that has just started again is still heard as a relay, and tells those that are sent to it that it is none.
-TEST_CASE("A follower is not sent back to the relay that it has lost, and does not ask again at once")
+// A relay that has just restarted still counts as one at the source, but rejects the followers that are referred to it.
+TEST_CASE("A follower is not referred back to the relay that it has lost, and does not subscribe again at once")
 {
-    feed_source source;
+    feed_publisher publisher;
     const instant now(duration(1000000));
     std::optional<endpoint> relay;
     for (int number = 0; number < 20 && !relay; ++number) {
         const feed_subscription subscription{daemon_id("d" + std::to_string(number)), 1, 0, true, {}, data_centre_id("x")};
         const endpoint address{"10.0.0.1", static_cast<std::uint16_t>(1000 + number)};
-        noteSubscriber(source, subscription, address, now);
-        relay = referFollower(source, subscription, now);
+        updateSubscriber(publisher, subscription, address, now);
+        relay = referFollower(publisher, subscription, now);
     }
     REQUIRE(relay);
     feed_subscription back{daemon_id("d-back"), 1, 0, true, {}, data_centre_id("x")};
     back.lostRelay = relay;
-    noteSubscriber(source, back, {"10.0.0.1", 2000}, now);
-    CHECK(referFollower(source, back, now) != relay);
-    // Where there is no other relay the follower becomes one.
-    for (auto &[id, subscriber] : source.subscribers) {
+    updateSubscriber(publisher, back, {"10.0.0.1", 2000}, now);
+    CHECK(referFollower(publisher, back, now) != relay);
+    // Without another relay the follower becomes one itself.
+    for (auto &[id, subscriber] : publisher.subscribers) {
         subscriber.isRelay = subscriber.address == relay;
     }
-    noteSubscriber(source, back, {"10.0.0.1", 2000}, now);
-    CHECK(referFollower(source, back, now) == std::nullopt);
-    CHECK(source.subscribers.at(back.from).isRelay);
+    updateSubscriber(publisher, back, {"10.0.0.1", 2000}, now);
+    CHECK(referFollower(publisher, back, now) == std::nullopt);
+    CHECK(publisher.subscribers.at(back.from).isRelay);
 
     feed_follower follower;
     follow(follower, {"10.0.0.1", 1}, now);
-    REQUIRE(takeReferral(follower, {"10.0.0.1", 1}, *relay, now));
-    CHECK(loseSource(follower, now));
+    REQUIRE(acceptReferral(follower, {"10.0.0.1", 1}, *relay, now));
+    CHECK(dropSource(follower, now));
     CHECK(follower.nextSubscription > now);
 }
--- a/Tests/PlatformAdapter/testCrashingRequests.cpp
+++ b/Tests/PlatformAdapter/testCrashingRequests.cpp
@@ -163,7 +163,7 @@
                               {replica_end(1), replica_end(2), replica_end(3)},
                               0,
                               duration(100)};
-    const auto bytes = encodeFeedMessage(suspect_list{false, 1, {told}});
+    const auto bytes = encodeFeedMessage(suspect_batch{false, 1, {told}});
     Poco::Net::DatagramSocket socket;
     socket.sendTo(bytes.data(), static_cast<int>(bytes.size()), Poco::Net::SocketAddress(world.peers().host, world.peers().port));
     const auto sent = monotonicNow();
--- a/Tests/PlatformAdapter/testRelayPatience.cpp
+++ b/Tests/PlatformAdapter/testRelayPatience.cpp
@@ -91,7 +91,7 @@
     /// Tells that the group of a head is likely to stand still.
     void tellDoubt(const std::string &head, const endpoint &to)
     {
-        const auto bytes = encodeFeedMessage(group_doubt{instance_id(head)});
+        const auto bytes = encodeFeedMessage(group_stall_warning{instance_id(head)});
         m_socket.sendTo(bytes.data(), static_cast<int>(bytes.size()), Poco::Net::SocketAddress(to.host, to.port));
     }
 
--- a/Tests/ReplicaLeaving/testReplicaLeaving.cpp
+++ b/Tests/ReplicaLeaving/testReplicaLeaving.cpp
@@ -71,7 +71,7 @@
     world.addHead("h-2", two);
     world.start();
     Poco::Net::DatagramSocket other(Poco::Net::SocketAddress("127.0.0.1", 0));
-    const constraint_list list{false, 1, {{{instance_id("h-1"), {}}, std::nullopt, constraintLifetime, true}}};
+    const constraint_batch list{false, 1, {{{instance_id("h-1"), {}}, std::nullopt, constraintLifetime, true}}};
     const auto bytes = encodeFeedMessage(list);
     other.sendTo(bytes.data(), static_cast<int>(bytes.size()), Poco::Net::SocketAddress(world.peers().host, world.peers().port));
     std::this_thread::sleep_for(duration(300));
