--- a/Benchmarks/benchCrashes.cpp
+++ b/Benchmarks/benchCrashes.cpp
@@ -48,21 +48,21 @@
     shared_suspects suspects(counters);
     const organisation_id organisation("organisation");
     const auto memoryBefore = residentKilobytes();
-    measure("answered_calm", rounds, [&](int number) { suspects.noteAnswered(named(number)); });
+    measure("answered_calm", rounds, [&](int number) { suspects.recordCompletion(named(number)); });
     measure("end_noted", static_cast<int>(mostSuspects), [&](int number) {
-        suspects.noteEnd(named(number), organisation, endOf("i-1", static_cast<std::uint64_t>(number)));
+        suspects.recordReplicaEnd(named(number), organisation, endOf("i-1", static_cast<std::uint64_t>(number)));
     });
     measure("end_noted_full_table", 2000, [&](int number) {
-        suspects.noteEnd(named(rounds + number), organisation, endOf("i-2", static_cast<std::uint64_t>(number)));
+        suspects.recordReplicaEnd(named(rounds + number), organisation, endOf("i-2", static_cast<std::uint64_t>(number)));
     });
     measure("refusal_asked_full_table", rounds, [&](int number) { suspects.refusedFor(named(number)); });
-    measure("answered_full_table", rounds, [&](int number) { suspects.noteAnswered(named(number)); });
+    measure("answered_full_table", rounds, [&](int number) { suspects.recordCompletion(named(number)); });
     std::vector<endpoint> followers;
     for (std::uint16_t number = 0; number < 25; ++number) {
         followers.push_back({"10.0.0.1", number});
     }
-    suspects.due(std::nullopt, followers);
-    measure("nothing_due_25_followers", rounds, [&](int /*number*/) { suspects.due(std::nullopt, followers); });
+    suspects.dueBatches(std::nullopt, followers);
+    measure("nothing_due_25_followers", rounds, [&](int /*number*/) { suspects.dueBatches(std::nullopt, followers); });
     printFigure({"table_memory", residentKilobytes() - memoryBefore, "KB", {}, {}});
     return 0;
 }
--- a/Libraries/Entry/assembly_runner.cpp
+++ b/Libraries/Entry/assembly_runner.cpp
@@ -7,10 +7,10 @@
 #include "Libraries/Base/digest.h"
 #include "Libraries/Base/event_log.h"
 #include "Libraries/Base/worker_pool.h"
-#include "Libraries/Entry/assembly_figures.h"
+#include "Libraries/Entry/assembly_metrics.h"
+#include "Libraries/Entry/group_status_log.h"
 #include "Libraries/Entry/notice_pacing.h"
-#include "Libraries/Entry/replica_looks.h"
-#include "Libraries/Entry/standing_log.h"
+#include "Libraries/Entry/replica_prober.h"
 #include "Libraries/Http/http_client.h"
 
 #include <fmt/format.h>
@@ -25,17 +25,18 @@
 
 constexpr event_log assemblyLog("assembly");
 constexpr auto coordinatorKey = "vetchpost/coordinator";
-/// How often the coordinator looks at its lease, and plans without being asked to.
+/// How often the coordinator checks its lease and plans without a trigger.
 constexpr duration coordinatorPeriod(150);
-/// How often a daemon that hears no coordinator looks whether there is one; spread, so that not all try at once.
+/// How often a daemon without a source checks whether there is a coordinator.
 constexpr duration followerPeriod(500);
+/// Range of a per-daemon offset that is added to followerPeriod, so that not all daemons try to become the coordinator at once.
 constexpr duration followerSpread(300);
-/// An order is answered at once or never.
+/// A replica that can answer an order does so at once.
 constexpr duration orderTimeout(400);
-/// How often the coordinator logs what stands of each model.
-constexpr duration standingLogPeriod(1000);
+/// How often the coordinator logs the status of each model's groups.
+constexpr duration statusLogPeriod(1000);
 constexpr int orderThreads = 12;
-constexpr int noticeThreads = 3;
+constexpr int reportThreads = 3;
 
 } // namespace
 
@@ -46,50 +47,50 @@
     const entry_dialect &dialect;
     store_follower &store;
     peer_feed &feed;
-    std::function<std::vector<model_demand>()> heldHere;
+    std::function<std::vector<model_demand>()> localDemand;
     answer_listener didAnswer;
     worker_pool orderWorkers{orderThreads};
-    worker_pool noticeWorkers{noticeThreads};
+    worker_pool reportWorkers{reportThreads};
     counter orders;
     counter takeovers;
-    assembly_figures figures;
+    assembly_metrics groupMetrics;
 
     mutable std::mutex mutex;
     std::condition_variable wake;
     bool isStopping = false;
     bool mustPlan = false;
-    instant nextStandingLog;
+    instant nextStatusLog;
     std::optional<coordination_term> term;
     instant termSince;
     std::map<service_id, assembly_state> assemblies;
-    std::map<instance_id, instant> lastNotices;
-    replica_looks looks;
+    std::map<instance_id, instant> lastReports;
+    replica_prober prober;
     std::thread thread;
 
     private_data(const entry_settings &entrySettings,
                  key_value_service &service,
-                 const entry_dialect &words,
+                 const entry_dialect &entryDialect,
                  store_follower &follower,
                  peer_feed &peers,
                  metrics &counters,
-                 std::function<std::vector<model_demand>()> held,
-                 const answer_listener &tellAnswer)
+                 std::function<std::vector<model_demand>()> demandSource,
+                 const answer_listener &answerListener)
         : settings(entrySettings)
         , keyValue(service)
-        , dialect(words)
+        , dialect(entryDialect)
         , store(follower)
         , feed(peers)
-        , heldHere(std::move(held))
-        , didAnswer(tellAnswer)
+        , localDemand(std::move(demandSource))
+        , didAnswer(answerListener)
         , orders(counters.addCounter("vetchpost_orders_total", "Orders sent to replicas."))
         , takeovers(counters.addCounter("vetchpost_takeovers_total", "Times that this daemon became coordinator."))
-        , figures(counters)
-        , looks(
-              service, words, follower, peers, figures, counters, [this] { planSoon(); }, tellAnswer)
+        , groupMetrics(counters)
+        , prober(
+              service, entryDialect, follower, peers, groupMetrics, counters, [this] { planSoon(); }, answerListener)
     {
     }
 
-    /// What is known has changed.
+    /// Wakes the planning thread.
     void planSoon()
     {
         {
@@ -99,33 +100,33 @@
         wake.notify_all();
     }
 
-    // Coordination.
+    // Coordination
 
     void run()
     {
         const auto spread = hashOf(settings.daemon.value()) % static_cast<std::uint64_t>(followerSpread.count());
-        const auto pauseOfFollower = followerPeriod + duration(static_cast<std::int64_t>(spread));
-        instant nextTry = monotonicNow() + duration(static_cast<std::int64_t>(spread));
+        const auto followerPause = followerPeriod + duration(static_cast<std::int64_t>(spread));
+        instant nextAttempt = monotonicNow() + duration(static_cast<std::int64_t>(spread));
         duration planTime{};
         for (;;) {
             const auto now = monotonicNow();
             if (mustHandOver(now)) {
                 handOver();
-                nextTry = now + restAfterTrouble;
+                nextAttempt = now + restAfterTrouble;
             } else if (holdsTerm(now)) {
                 renewIfDue(now);
                 const auto planStart = monotonicNow();
                 plan();
                 planTime = monotonicNow() - planStart;
-            } else if (now >= nextTry) {
-                giveUpTerm();
+            } else if (now >= nextAttempt) {
+                endTerm();
                 if (!feed.isSourceActive()) {
-                    tryToCoordinate();
-                    nextTry = monotonicNow() + pauseOfFollower;
+                    tryToBecomeCoordinator();
+                    nextAttempt = monotonicNow() + followerPause;
                 }
             }
             std::unique_lock lock(mutex);
-            // Changes and answers come in bursts: what comes together is planned together.
+            // Changes and answers arrive in bursts, which are gathered into one plan.
             wake.wait_for(lock, gatherTimeAfter(planTime), [this] { return isStopping; });
             wake.wait_for(lock, coordinatorPeriod, [this] { return isStopping || mustPlan; });
             if (isStopping) {
@@ -141,25 +142,27 @@
         return isHeldFor(term, duration(), now);
     }
 
-    void giveUpTerm()
+    /// Discards the state of a term that has ended; does nothing without one.
+    void endTerm()
     {
         const std::lock_guard lock(mutex);
         if (term) {
             assemblyLog.write("coordination_lost", {{"term", term->number}});
             term.reset();
             assemblies.clear();
-            figures.clear();
+            groupMetrics.clear();
             feed.setSource(false);
         }
     }
 
-    /// Whether unrelated replicas and the key-value service have been silent to this coordinator together.
+    /// Whether neither unrelated replicas nor the key-value service answer this coordinator, so that the fault is likely its own.
     bool mustHandOver(instant now) const
     {
         const std::lock_guard lock(mutex);
-        return term && isRenewalLate(*term, settings.leaseTime, now) && looks.mustHandOver(now);
+        return term && isRenewalLate(*term, settings.leaseTime, now) && prober.mustHandOver(now);
     }
 
+    /// Ends the term and its lease, so that another daemon can become the coordinator.
     void handOver()
     {
         lease_number lease;
@@ -168,14 +171,14 @@
             lease = term->lease;
         }
         assemblyLog.write("handed_over", {{"why", "others do not answer this daemon"}});
-        giveUpTerm();
-        noticeWorkers.run([this, lease] { keyValue.endLease(lease); });
+        endTerm();
+        reportWorkers.run([this, lease] { keyValue.endLease(lease); });
     }
 
-    void tryToCoordinate()
+    void tryToBecomeCoordinator()
     {
         reason why;
-        // A stale look costs a tenth; only a current one says that there is nobody.
+        // A stale read costs a tenth of a current one, but only a current one proves that there is no coordinator.
         for (const auto freshness : {read_freshness::may_be_stale, read_freshness::current}) {
             const auto entry = keyValue.get(coordinatorKey, freshness, why);
             if (!entry) {
@@ -193,11 +196,11 @@
         }
         const auto result = keyValue.compareAndSwap(coordinatorKey, key_revision(), settings.peers.text(), *lease);
         if (result.outcome != swap_outcome::applied) {
-            // Whatever came of a write without an answer, its key goes with the lease.
+            // If a write without an answer was applied, its key is removed with the lease.
             keyValue.endLease(*lease);
             return;
         }
-        takeTerm({result.changed.value(), *lease, asked + settings.leaseTime});
+        beginTerm({result.changed.value(), *lease, asked + settings.leaseTime});
     }
 
     void followCoordinator(const std::string &address)
@@ -210,59 +213,59 @@
         }
     }
 
-    void takeTerm(const coordination_term &taken)
+    void beginTerm(const coordination_term &newTerm)
     {
         {
             const std::lock_guard lock(mutex);
-            term = taken;
+            term = newTerm;
             termSince = monotonicNow();
             assemblies.clear();
         }
-        looks.forget();
+        prober.reset();
         takeovers.increment();
-        assemblyLog.write("coordination_taken", {{"term", taken.number}});
-        // Nothing is planned before a listing that began after the predecessor's term had ended.
+        assemblyLog.write("coordination_taken", {{"term", newTerm.number}});
+        // Planning waits for a listing that began after the predecessor's term had ended.
         feed.setSource(true);
-        store.listAgain();
+        store.relist();
     }
 
     void renewIfDue(instant now)
     {
-        coordination_term held;
+        coordination_term current;
         {
             const std::lock_guard lock(mutex);
-            held = *term;
+            current = *term;
         }
-        if (!isRenewalDue(held, settings.leaseTime, now)) {
+        if (!isRenewalDue(current, settings.leaseTime, now)) {
             return;
         }
         reason why;
-        const auto isRenewed = keyValue.renewLease(held.lease, why);
+        const auto isRenewed = keyValue.renewLease(current.lease, why);
         if (!isRenewed) {
             return;
         }
         if (!*isRenewed) {
-            giveUpTerm();
+            endTerm();
             return;
         }
         const std::lock_guard lock(mutex);
-        if (term && term->number == held.number) {
+        if (term && term->number == current.number) {
             term->leaseUntil = now + settings.leaseTime;
         }
     }
 
-    // Planning.
+    // Planning
 
     void plan()
     {
         const auto routes = store.routes();
-        // Asked before the directory, which may become newer in between, but not older.
+        // Read before the directory, which may become newer in between, but not older.
         const auto listedAt = store.listedAt();
         const auto directory = store.directory();
         const auto now = monotonicNow();
-        const auto silence = looks.report(*directory, now);
+        const auto silence = prober.report(*directory, now);
         std::vector<replica_order> planned;
-        std::uint64_t number = 0;
+        std::uint64_t termNumber = 0;
         {
             const std::lock_guard lock(mutex);
             if (!term) {
@@ -272,7 +275,7 @@
                 logWaiting(routes ? "no listing that was asked for in this term" : "no configuration", now);
                 return;
             }
-            number = term->number;
+            termNumber = term->number;
             for (const auto &service : routes->configuration().services) {
                 if (service.engine) {
                     planService(service, *directory, silence, now, planned);
@@ -280,20 +283,20 @@
             }
         }
         for (auto &order : planned) {
-            orderWorkers.run([this, sent = std::move(order), number] { perform(sent, number); });
+            orderWorkers.run([this, sent = std::move(order), termNumber] { perform(sent, termNumber); });
         }
     }
 
-    /// The mutex is held.
+    /// Logs at most once a period why nothing is planned. Requires the mutex to be held.
     void logWaiting(const char *why, instant now)
     {
-        if (now >= nextStandingLog) {
-            nextStandingLog = now + standingLogPeriod;
+        if (now >= nextStatusLog) {
+            nextStatusLog = now + statusLogPeriod;
             assemblyLog.write("planning_waits", {{"why", why}, {"for_ms", (now - termSince).count()}});
         }
     }
 
-    /// The mutex is held.
+    /// Plans one service and appends its orders to \a planned. Requires the mutex to be held.
     void planService(const served_service &service,
                      const replica_directory &directory,
                      const silence_report &silence,
@@ -313,25 +316,25 @@
                                  silence.notLeaving,
                                  store.followedSince().value_or(now)};
         auto next = planAssembly(assembly, view);
-        if (!assembly.decisions.empty() || now >= nextStandingLog) {
-            figures.noteStandings(service.id, standingOf(assembly, *service.engine), assembly.idleSince.size(), now);
+        if (!assembly.decisions.empty() || now >= nextStatusLog) {
+            groupMetrics.recordModels(service.id, standingOf(assembly, *service.engine), assembly.idleSince.size(), now);
         }
         for (const auto &decision : assembly.decisions) {
             assemblyLog.write("decided", {{"term", term->number}, {"what", decision}});
         }
         assembly.decisions.clear();
-        if (now >= nextStandingLog) {
-            nextStandingLog = now + standingLogPeriod;
-            logStanding(view, assembly);
+        if (now >= nextStatusLog) {
+            nextStatusLog = now + statusLogPeriod;
+            logGroupStatus(view, assembly);
         }
         std::move(next.begin(), next.end(), std::back_inserter(planned));
     }
 
-    /// Requests of each model that all daemons hold.
+    /// The number of requests for each model of a service that all daemons hold.
     std::map<model_id, int> demandOf(const service_id &service) const
     {
         auto demand = store.followersDemand(service);
-        for (const auto &here : heldHere()) {
+        for (const auto &here : localDemand()) {
             if (here.service == service) {
                 demand[here.model] += here.outstanding;
             }
@@ -339,13 +342,14 @@
         return demand;
     }
 
-    void perform(const replica_order &order, std::uint64_t number)
+    /// Sends an order of the term \a termNumber, unless the term has ended or the order is no longer due, and records the result.
+    void perform(const replica_order &order, std::uint64_t termNumber)
     {
         bool isAllowed = false;
         {
-            // This thread may have been held up: the term is looked at once more right before the order leaves.
+            // This thread may have been delayed, so the term is checked again right before the order is sent.
             const std::lock_guard lock(mutex);
-            isAllowed = term && term->number == number && isHeldFor(term, orderTimeout, monotonicNow());
+            isAllowed = term && term->number == termNumber && isHeldFor(term, orderTimeout, monotonicNow());
         }
         order_answer answer;
         std::string text = "not sent";
@@ -391,29 +395,31 @@
         return {isRefused ? order_result::gone : order_result::unknown, 0};
     }
 
-    // Groups that stand still.
+    // Stalled groups
 
-    bool mayTellOf(const instance_id &head)
+    /// Limits the rate of stall reports for one group. Returns whether a report may be sent now, and counts it as sent.
+    bool mayReportStall(const instance_id &head)
     {
         const std::lock_guard lock(mutex);
-        return mayNotice(lastNotices, head, monotonicNow());
+        return mayNotice(lastReports, head, monotonicNow());
     }
 
-    void takeStall(const instance_id &head)
+    /// Probes the group's members as the coordinator, else sends a report to the coordinator.
+    void processStall(const instance_id &head)
     {
         if (holdsTerm(monotonicNow())) {
-            looks.lookAtGroup(head);
+            prober.probeGroup(head);
             return;
         }
-        if (!feed.tellStall({settings.daemon, head})) {
+        if (!feed.sendStallReport({settings.daemon, head})) {
             assemblyLog.write("stall_not_told", {{"head", head.value()}, {"why", "no coordinator is known"}});
         }
     }
 
-    void hearStall(const stall_report &notice)
+    void handleStallReport(const stall_report &report)
     {
         if (holdsTerm(monotonicNow())) {
-            looks.lookAtGroup(notice.replica);
+            prober.probeGroup(report.replica);
         }
     }
 };
@@ -424,9 +430,9 @@
                                  store_follower &store,
                                  peer_feed &feed,
                                  metrics &counters,
-                                 std::function<std::vector<model_demand>()> heldHere,
+                                 std::function<std::vector<model_demand>()> localDemand,
                                  const answer_listener &didAnswer)
-    : d(std::make_unique<private_data>(settings, keyValue, dialect, store, feed, counters, std::move(heldHere), didAnswer))
+    : d(std::make_unique<private_data>(settings, keyValue, dialect, store, feed, counters, std::move(localDemand), didAnswer))
 {
 }
 
@@ -453,12 +459,12 @@
     if (d->thread.joinable()) {
         d->thread.join();
     }
-    d->looks.stop();
+    d->prober.stop();
     d->orderWorkers.stop();
-    d->noticeWorkers.stop();
+    d->reportWorkers.stop();
     const std::lock_guard lock(d->mutex);
     if (d->term) {
-        // A successor need not wait for the lease to lapse.
+        // Ends the lease so that a successor need not wait for it to expire.
         d->keyValue.endLease(d->term->lease);
         d->term.reset();
         d->feed.setSource(false);
@@ -470,15 +476,15 @@
     d->planSoon();
 }
 
-void assembly_runner::hearStall(const stall_report &notice)
+void assembly_runner::handleStallReport(const stall_report &report)
 {
-    d->hearStall(notice);
+    d->handleStallReport(report);
 }
 
-void assembly_runner::noteStall(const instance_id &head)
+void assembly_runner::reportStall(const instance_id &head)
 {
-    if (d->mayTellOf(head)) {
-        d->noticeWorkers.run([this, head] { d->takeStall(head); });
+    if (d->mayReportStall(head)) {
+        d->reportWorkers.run([this, head] { d->processStall(head); });
     }
 }
 
--- a/Libraries/Entry/assembly_runner.h
+++ b/Libraries/Entry/assembly_runner.h
@@ -14,31 +14,34 @@
 
 namespace vetchpost {
 
-/// Assembles the groups while this daemon holds the coordination, and tries to take it over while nobody does.
+/// Plans and assembles the groups while this daemon is the coordinator, and tries to become the coordinator while there is none.
 class assembly_runner
 {
 public:
-    /// \a didAnswer is called with each answer of a replica to an order or a look, on any thread.
+    /// \a localDemand returns the number of requests for each model that this daemon holds. \a didAnswer is called with each answer of a
+    /// replica to an order or a probe, on any thread.
     assembly_runner(const entry_settings &settings,
                     key_value_service &keyValue,
                     const entry_dialect &dialect,
                     store_follower &store,
                     peer_feed &feed,
                     metrics &counters,
-                    std::function<std::vector<model_demand>()> heldHere,
+                    std::function<std::vector<model_demand>()> localDemand,
                     const answer_listener &didAnswer);
     ~assembly_runner();
     assembly_runner(const assembly_runner &) = delete;
     assembly_runner &operator=(const assembly_runner &) = delete;
 
     void start();
+    /// Stops planning, and ends this daemon's term so that a successor need not wait for its lease to expire.
     void stop();
-    /// Plans again at once: what the replicas say has changed.
+    /// Triggers planning at once, for changes of the replicas or the configuration.
     void replan();
-    /// A group's requests stand still. The coordinator looks at its members directly; other daemons pass it on.
-    void noteStall(const instance_id &head);
-    /// Another daemon tells of a group whose requests stand still.
-    void hearStall(const stall_report &notice);
+    /// Reports that requests at the group of \a head are stalled. The coordinator probes the group's members; other daemons send a report
+    /// to the coordinator.
+    void reportStall(const instance_id &head);
+    /// Handles a stall report of another daemon. Ignored unless this daemon is the coordinator.
+    void handleStallReport(const stall_report &report);
 
 private:
     struct private_data;
--- a/Libraries/Entry/configuration_reading.cpp
+++ b/Libraries/Entry/configuration_reading.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-// How a store_follower keeps the configuration: read in the service, or told by the source to be current.
+// The part of store_follower that keeps the configuration up to date: it reads the service, or the source confirms that it is current.
 #include "Libraries/Entry/store_follower_data.h"
 
 namespace vetchpost {
 
 namespace {
 
-/// Before the first configuration; these reads may be stale and cost a tenth.
+/// How often the configuration is read before there is one. Stale reads do, which cost a tenth of current ones.
 constexpr duration firstConfigurationPeriod(250);
 
 } // namespace
@@ -15,22 +15,22 @@
 {
     bool isKnown = false;
     do {
-        if (mustAskForConfiguration()) {
+        if (isConfigurationReadDue()) {
             isKnown = readConfiguration(isKnown) || isKnown;
         }
-    } while (pauseOfConfiguration(isKnown));
+    } while (waitBeforeConfigurationRead(isKnown));
 }
 
-bool store_follower::private_data::mustAskForConfiguration()
+bool store_follower::private_data::isConfigurationReadDue()
 {
     const std::lock_guard lock(mutex);
-    const bool isAsked = std::exchange(mustReadConfiguration, false);
-    const bool isCurrent = currentAt && monotonicNow() - *currentAt < readingLimit();
-    const bool isToldOfNone = !table && toldAt && monotonicNow() - *toldAt < timing.directWatchDelay;
-    return isSource || isAsked || !(isCurrent || isToldOfNone);
+    const bool isRequested = std::exchange(mustReadConfiguration, false);
+    const bool isCurrent = currentAt && monotonicNow() - *currentAt < maximumConfigurationAge();
+    const bool doesSourceHaveNone = !table && sourceCurrentAt && monotonicNow() - *sourceCurrentAt < timing.directWatchDelay;
+    return isSource || isRequested || !(isCurrent || doesSourceHaveNone);
 }
 
-bool store_follower::private_data::pauseOfConfiguration(bool isKnown)
+bool store_follower::private_data::waitBeforeConfigurationRead(bool isKnown)
 {
     std::unique_lock lock(mutex);
     const auto now = monotonicNow();
@@ -38,13 +38,13 @@
     if (isKnown && isSource) {
         until = now + timing.sourceReadPeriod;
     } else if (isKnown && currentAt) {
-        until = std::max(now + retryPause, *currentAt + readingLimit());
+        until = std::max(now + retryPause, *currentAt + maximumConfigurationAge());
     }
     wake.wait_for(lock, until - now, [this] { return isStopping || mustReadConfiguration; });
     return !isStopping;
 }
 
-void store_follower::private_data::noteConfigurationRead(key_revision found, instant asked)
+void store_follower::private_data::recordConfigurationRead(key_revision found, instant asked)
 {
     const std::lock_guard lock(mutex);
     feed.configuration = std::max(feed.configuration, found);
@@ -55,24 +55,24 @@
 {
     const auto asked = monotonicNow();
     reason why;
-    // In a system that runs there is a configuration: to ask first whether there is brings a large one through the link twice.
+    // A running system has a configuration. To check first whether there is one would transfer a large configuration twice.
     const auto freshness = isKnown || hasTraffic ? read_freshness::current : read_freshness::may_be_stale;
     const auto entry = keyValue.get(dialect.configurationKey(), freshness, why);
-    noteAnswer(entry.has_value(), why);
+    recordServiceAnswer(entry.has_value(), why);
     if (entry && (freshness == read_freshness::current || entry->changed == key_revision())) {
-        noteConfigurationRead(entry->changed, asked);
+        recordConfigurationRead(entry->changed, asked);
     }
     if (!entry || entry->changed == key_revision()) {
         return false;
     }
     if (freshness == read_freshness::may_be_stale) {
-        // A stale read says that there is one; only a current read says which.
+        // A stale read shows that there is one, but only a current read returns the newest.
         return readConfiguration(true);
     }
-    return takeConfiguration(*entry, asked);
+    return applyConfiguration(*entry, asked);
 }
 
-bool store_follower::private_data::takeConfiguration(const key_value_entry &entry, instant asked)
+bool store_follower::private_data::applyConfiguration(const key_value_entry &entry, instant asked)
 {
     {
         const std::lock_guard lock(mutex);
@@ -106,11 +106,11 @@
     return true;
 }
 
-void store_follower::private_data::noteTold(key_revision configuration, instant at)
+void store_follower::private_data::recordSourceConfiguration(key_revision configuration, instant at)
 {
     {
         const std::lock_guard lock(mutex);
-        toldAt = std::max(toldAt.value_or(at), at);
+        sourceCurrentAt = std::max(sourceCurrentAt.value_or(at), at);
         if (configuration >= feed.configuration) {
             feed.configuration = configuration;
             feed.configurationCurrentAt = std::max(feed.configurationCurrentAt.value_or(at), at);
--- a/Libraries/Entry/crash_guard.cpp
+++ b/Libraries/Entry/crash_guard.cpp
@@ -28,7 +28,7 @@
         , record(keyValue,
                  {[&peers] { return peers.isSource(); },
                   [&peers] { return peers.isSourceActive(); },
-                  [&shared](const std::vector<crash_evidence> &kept) { shared.takeKept(kept); },
+                  [&shared](const std::vector<crash_evidence> &kept) { shared.mergePersisted(kept); },
                   [&shared] { return shared.refused(); }})
     {
     }
@@ -37,8 +37,8 @@
     {
         const auto &replica = loss.target.replica;
         if (!hasSaidItLeaves(replica)) {
-            suspects.noteEnd(loss.request, loss.organisation, endOf(replica.value(), loss.target.life.value()));
-            feed.spreadTables();
+            suspects.recordReplicaEnd(loss.request, loss.organisation, endOf(replica.value(), loss.target.life.value()));
+            feed.syncTables();
         }
     }
 
@@ -104,7 +104,7 @@
 void crash_guard::noteAnswered(const std::optional<request_identity> &request)
 {
     if (request) {
-        d->suspects.noteAnswered(*request);
+        d->suspects.recordCompletion(*request);
     }
 }
 
--- /dev/null
+++ b/Libraries/Entry/daemon_metrics.cpp
@@ -0,0 +1,62 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "Libraries/Entry/daemon_metrics.h"
+
+namespace vetchpost {
+
+namespace {
+
+/// Exported as the configuration's age while no configuration has been read.
+constexpr double unknownAge = -1;
+
+gauge addConstrainedGauge(metrics &counters, const std::string &kind)
+{
+    return counters.addGauge("vetchpost_replicas_constrained",
+                             "Replicas that asked this daemon for a backoff (rest), have a rate limit, or leave.",
+                             {{"kind", kind}});
+}
+
+} // namespace
+
+daemon_metrics::daemon_metrics(metrics &counters)
+    : m_counters(counters)
+    , m_configurationVersion(counters.addGauge("vetchpost_configuration_version", "Version of the configuration in force; 0 if none."))
+    , m_configurationAge(counters.addGauge("vetchpost_configuration_age_seconds",
+                                           "Time since the configuration was last known to be current; -1 if none was read."))
+    , m_replicas(counters.addGauge("vetchpost_replicas_known", "Replicas in the directory."))
+    , m_daemons(counters.addGauge("vetchpost_daemons_known", "Daemons known to the coordinator; 0 if unknown."))
+    , m_connections(counters.addGauge("vetchpost_connections_open", "Open client connections."))
+    , m_requests(counters.addGauge("vetchpost_requests_held", "Requests that are being served."))
+    , m_crashingRequests(
+          counters.addGauge("vetchpost_crashing_requests_refused", "Requests that are refused because replicas ended while they ran them."))
+    , m_replicasInBackoff(addConstrainedGauge(counters, "rest"))
+    , m_rateLimitedReplicas(addConstrainedGauge(counters, "limit"))
+    , m_leavingReplicas(addConstrainedGauge(counters, "leaving"))
+{
+}
+
+void daemon_metrics::update(const daemon_status &status)
+{
+    const auto age = status.configurationAge;
+    m_configurationVersion.set(static_cast<double>(status.configurationVersion));
+    m_configurationAge.set(age ? secondsOf(*age) : unknownAge);
+    m_replicas.set(static_cast<double>(status.replicas));
+    m_daemons.set(status.daemons);
+    m_connections.set(static_cast<double>(status.connections));
+    m_requests.set(static_cast<double>(status.requests));
+    m_crashingRequests.set(static_cast<double>(status.crashingRequests));
+    m_replicasInBackoff.set(status.replicasInBackoff);
+    m_rateLimitedReplicas.set(status.rateLimitedReplicas);
+    m_leavingReplicas.set(status.leavingReplicas);
+    const std::lock_guard lock(m_mutex);
+    for (const auto &[part, count] : status.droppedLinesByPart) {
+        auto found = m_droppedLines.find(part);
+        if (found == m_droppedLines.end()) {
+            const auto droppedLines = m_counters.addCounter(
+                "vetchpost_log_lines_left_out_total", "Log lines that were dropped, by part of the program.", {{"part", part}});
+            found = m_droppedLines.emplace(part, droppedLines).first;
+        }
+        found->second.increment(static_cast<double>(count) - found->second.value());
+    }
+}
+
+} // namespace vetchpost
--- a/Libraries/Entry/entry_daemon.cpp
+++ b/Libraries/Entry/entry_daemon.cpp
@@ -5,7 +5,7 @@
 #include "Libraries/Base/version.h"
 #include "Libraries/Entry/assembly_runner.h"
 #include "Libraries/Entry/crash_interface.h"
-#include "Libraries/Entry/daemon_figures.h"
+#include "Libraries/Entry/daemon_metrics.h"
 #include "Libraries/Entry/request_run.h"
 #include "Libraries/Platform/measured_store.h"
 #include "Libraries/Platform/paced_service.h"
@@ -21,15 +21,15 @@
 namespace {
 
 constexpr event_log daemonLog("daemon");
-/// The balancer asks every second and takes a daemon out after two misses; new connections come until then.
-constexpr duration balancerNotice(2500);
-/// What is left of the stop grace when the process ends by itself.
+/// The load balancer checks readiness every second and removes a daemon after two failures; new connections arrive until then.
+constexpr duration loadBalancerNoticeTime(2500);
+/// The part of the stop grace that is left for the process to exit by itself.
 constexpr duration stopMargin(600);
 constexpr duration stopPollPeriod(50);
-constexpr std::size_t callerStackBytes = 128U * 1024U;
+constexpr std::size_t clientThreadStackBytes = 128U * 1024U;
 constexpr int readinessThreads = 4;
 constexpr auto metricsPath = "/metrics";
-/// Clients use connections again that were idle for a little less than the configured idle time.
+/// Clients reuse connections that were idle for a little less than the configured idle time.
 constexpr duration keepAliveTimeout(20000);
 constexpr duration headerTimeout(6000);
 
@@ -37,12 +37,12 @@
 
 namespace {
 
-/// Work at the end of the process on a thread of its own. Nobody waits for it beyond the stop grace: what is still at work then is cut by
-/// the end of the process, a moment before the platform would do it.
-class last_work
+/// Runs work on its own thread while the process shuts down. The destructor does not wait for unfinished work: the exit of the process,
+/// shortly before the platform would kill it, cuts it off.
+class shutdown_task
 {
 public:
-    explicit last_work(std::function<void()> work)
+    explicit shutdown_task(std::function<void()> work)
         : m_isDone(std::make_shared<std::atomic<bool>>(false))
         , m_thread([work = std::move(work), isDone = m_isDone] {
             work();
@@ -51,7 +51,7 @@
     {
     }
 
-    ~last_work()
+    ~shutdown_task()
     {
         if (*m_isDone) {
             m_thread.join();
@@ -60,8 +60,8 @@
         }
     }
 
-    last_work(const last_work &) = delete;
-    last_work &operator=(const last_work &) = delete;
+    shutdown_task(const shutdown_task &) = delete;
+    shutdown_task &operator=(const shutdown_task &) = delete;
 
     bool isDone() const
     {
@@ -91,14 +91,14 @@
     assembly_runner assembly;
     crash_guard crashes;
     relay_context relay;
-    daemon_figures standing;
-    std::unique_ptr<http_server> callers;
-    std::unique_ptr<http_server> readiness;
-    std::unique_ptr<http_server> figures;
+    daemon_metrics exportedMetrics;
+    std::unique_ptr<http_server> clientServer;
+    std::unique_ptr<http_server> readinessServer;
+    std::unique_ptr<http_server> operatorServer;
 
-    private_data(const entry_settings &entrySettings, std::unique_ptr<entry_dialect> words, const store_maker &makeStore)
+    private_data(const entry_settings &entrySettings, std::unique_ptr<entry_dialect> entryDialect, const store_maker &makeStore)
         : settings(entrySettings)
-        , dialect(std::move(words))
+        , dialect(std::move(entryDialect))
         , keyValue(std::make_unique<paced_service>(std::make_unique<measured_store>(makeStore(settings.keyValue, counters), counters),
                                                    dialect->configurationKey()))
         , store(
@@ -108,12 +108,12 @@
               counters,
               [this] { rebuildView(); },
               [this](const std::vector<replica_key> &replicas) {
-                  if (constraints.noteDepartures(replicas)) {
-                      feed.spreadTables();
+                  if (constraints.recordDepartures(replicas)) {
+                      feed.syncTables();
                   }
               })
         , suspects(counters)
-        , constraints(counters, [this] { store.noteLeaving(constraints.leaving()); })
+        , constraints(counters, [this] { store.updateLeaving(constraints.leaving()); })
         , feed(
               settings,
               store,
@@ -121,8 +121,8 @@
               constraints,
               counters,
               [this] { return relay.held.counts(); },
-              [this](const stall_report &notice) { assembly.hearStall(notice); },
-              [this](const group_stall_warning &doubt) { relay.doubt(doubt.head); })
+              [this](const stall_report &report) { assembly.handleStallReport(report); },
+              [this](const group_stall_warning &warning) { relay.doubt(warning.head); })
         , assembly(
               settings,
               *keyValue,
@@ -131,7 +131,7 @@
               feed,
               counters,
               [this] { return relay.held.counts(); },
-              [this](const instance_id &replica, const http_reply &reply) { noteReply(replica, reply); })
+              [this](const instance_id &replica, const http_reply &reply) { recordReplyConstraints(replica, reply); })
         , crashes(*keyValue, *dialect, store, feed, suspects)
         , relay(settings,
                 *dialect,
@@ -141,21 +141,21 @@
                 crashes,
                 constraints,
                 counters,
-                [this](const instance_id &head) { assembly.noteStall(head); })
-        , standing(counters)
+                [this](const instance_id &head) { assembly.reportStall(head); })
+        , exportedMetrics(counters)
     {
     }
 
-    /// A replica has answered a call of the daemon's own. Such an answer may say what a replica can take, but lacks nothing where it does
-    /// not.
-    void noteReply(const instance_id &replica, const http_reply &reply)
+    /// Records the constraints in a replica's answer to an order or a probe. Such an answer may state constraints, but one that states none
+    /// does not revoke those that are known.
+    void recordReplyConstraints(const instance_id &replica, const http_reply &reply)
     {
         auto notice = dialect->readNotice(reply.status, reply.headers);
         notice.tellsAll = false;
         const auto directory = store.directory();
         const auto known = directory->replicas.find(replica);
-        if (known != directory->replicas.end() && constraints.noteAnswer({replica, known->second.life}, notice)) {
-            feed.spreadTables();
+        if (known != directory->replicas.end() && constraints.applyNotice({replica, known->second.life}, notice)) {
+            feed.syncTables();
         }
     }
 
@@ -163,7 +163,7 @@
     {
         {
             const std::lock_guard lock(viewMutex);
-            // Asked before the directory, which may become newer in between, but not older.
+            // Read before the directory, which may become newer in between, but not older.
             const bool isListed = store.listedAt().has_value();
             view.replace(views.build(store.routes(), *store.directory(), isListed, settings.dataCentre));
         }
@@ -176,31 +176,31 @@
         return !relay.isDraining && store.listedAt() && areKeysUsableForAWhile(bound, store.configurationKnowledge(), monotonicNow());
     }
 
-    void serveCaller(http_exchange &exchange)
+    void serveClient(http_exchange &exchange)
     {
-        store.noteTraffic();
-        feed.noteTraffic();
+        store.recordTraffic();
+        feed.recordTraffic();
         request_run(relay, exchange).serve();
     }
 
-    daemon_standing standingNow() const
+    daemon_status currentStatus() const
     {
         const auto routes = store.routes();
         const auto currentAt = store.configurationCurrentAt();
-        daemon_standing now;
-        now.configurationVersion = routes ? routes->configuration().version : 0;
-        now.configurationAge = currentAt ? std::optional(monotonicNow() - *currentAt) : std::nullopt;
-        now.replicas = store.directory()->replicas.size();
-        now.daemons = feed.daemons().value_or(0);
-        now.connections = static_cast<std::size_t>(callers->openConnections());
-        now.requests = static_cast<std::size_t>(callers->activeRequests());
-        now.crashingRequests = suspects.refused().size();
+        daemon_status status;
+        status.configurationVersion = routes ? routes->configuration().version : 0;
+        status.configurationAge = currentAt ? std::optional(monotonicNow() - *currentAt) : std::nullopt;
+        status.replicas = store.directory()->replicas.size();
+        status.daemons = feed.daemons().value_or(0);
+        status.connections = static_cast<std::size_t>(clientServer->openConnections());
+        status.requests = static_cast<std::size_t>(clientServer->activeRequests());
+        status.crashingRequests = suspects.refused().size();
         const auto constrained = constraints.counts();
-        now.restingReplicas = constrained.resting;
-        now.limitedReplicas = constrained.limited;
-        now.leavingReplicas = constrained.leaving;
-        now.linesLeftOut = droppedLogLinesByPart();
-        return now;
+        status.replicasInBackoff = constrained.inBackoff;
+        status.rateLimitedReplicas = constrained.limited;
+        status.leavingReplicas = constrained.leaving;
+        status.droppedLinesByPart = droppedLogLinesByPart();
+        return status;
     }
 
     void answerOperator(http_exchange &exchange)
@@ -209,12 +209,12 @@
         constexpr int notFound = 404;
         if (exchange.path() == crashingRequestsPath) {
             answerCrashingRequests(exchange, suspects);
-            feed.spreadTables();
+            feed.syncTables();
             return;
         }
         const bool isKnown = exchange.path() == metricsPath;
         if (isKnown) {
-            standing.show(standingNow());
+            exportedMetrics.update(currentStatus());
         }
         exchange.send(isKnown ? found : notFound, "text/plain", isKnown ? counters.text() : std::string());
     }
@@ -234,15 +234,15 @@
 
 entry_daemon::~entry_daemon()
 {
-    // The threads call each other's parts: all of them end before any part goes.
-    d->callers.reset();
-    d->readiness.reset();
-    d->figures.reset();
+    // The threads call into each other's parts, so all of them end before any part is destroyed.
+    d->clientServer.reset();
+    d->readinessServer.reset();
+    d->operatorServer.reset();
     d->assembly.stop();
     d->crashes.stop();
     d->feed.stop();
     d->store.stop();
-    // The log's thread asks for what the requests have left to tell.
+    // The log's thread calls the relay's callRoll(), so it stops before the relay is destroyed.
     stopEventLog();
 }
 
@@ -258,16 +258,18 @@
                      {"data_centre", d->settings.dataCentre.value()}});
     http_server_limits limits;
     limits.maximumThreads = d->settings.maximumConnections;
-    limits.threadStackBytes = callerStackBytes;
+    limits.threadStackBytes = clientThreadStackBytes;
     limits.requestTimeout = headerTimeout;
     limits.keepAliveTimeout = keepAliveTimeout;
-    d->callers = std::make_unique<http_server>(d->settings.callers, limits, [this](http_exchange &exchange) { d->serveCaller(exchange); });
+    d->clientServer
+        = std::make_unique<http_server>(d->settings.callers, limits, [this](http_exchange &exchange) { d->serveClient(exchange); });
     limits.maximumThreads = readinessThreads;
-    d->readiness
+    d->readinessServer
         = std::make_unique<http_server>(d->settings.readiness, limits, [this](http_exchange &exchange) { d->answerReadiness(exchange); });
-    d->figures = std::make_unique<http_server>(d->settings.peers, limits, [this](http_exchange &exchange) { d->answerOperator(exchange); });
+    d->operatorServer
+        = std::make_unique<http_server>(d->settings.peers, limits, [this](http_exchange &exchange) { d->answerOperator(exchange); });
     if (!d->settings.isFirstStart) {
-        d->store.noteTraffic();
+        d->store.recordTraffic();
     }
     d->feed.start();
     d->assembly.start();
@@ -279,21 +281,22 @@
 {
     const auto asked = monotonicNow();
     const auto latest = asked + d->settings.stopGrace - stopMargin;
-    daemonLog.write("stopping", {{"active", d->callers->activeRequests()}});
+    daemonLog.write("stopping", {{"active", d->clientServer->activeRequests()}});
     d->relay.isDraining = true;
-    d->feed.endPassingOn();
-    // It hands the coordination over, which a slow key-value service may hold up; the callers' connections must not wait for that.
-    const last_work handingOver([this] { d->assembly.stop(); });
-    // New connections come until the balancer has noticed; idle ones are closed only after it, so that nothing is sent into a close.
-    sleepUntil(asked + balancerNotice);
-    daemonLog.write("finishing", {{"connections", d->callers->openConnections()}, {"active", d->callers->activeRequests()}});
-    const last_work finishing([this] { d->callers->finish(); });
-    while (!(finishing.isDone() && handingOver.isDone()) && monotonicNow() < latest) {
+    d->feed.endRelaying();
+    // Ends this daemon's term as coordinator. A slow key-value service may delay that, and the client connections must not wait for it.
+    const shutdown_task termEnd([this] { d->assembly.stop(); });
+    // New connections arrive until the load balancer has noticed. Idle ones are closed only afterwards, so that no request is sent on a
+    // connection that is being closed.
+    sleepUntil(asked + loadBalancerNoticeTime);
+    daemonLog.write("finishing", {{"connections", d->clientServer->openConnections()}, {"active", d->clientServer->activeRequests()}});
+    const shutdown_task clientFinish([this] { d->clientServer->finish(); });
+    while (!(clientFinish.isDone() && termEnd.isDone()) && monotonicNow() < latest) {
         std::this_thread::sleep_for(stopPollPeriod);
     }
     daemonLog.write("stopped",
-                    {{"connections", d->callers->openConnections()},
-                     {"active", d->callers->activeRequests()},
+                    {{"connections", d->clientServer->openConnections()},
+                     {"active", d->clientServer->activeRequests()},
                      {"log_lines_left_out", droppedLogLines()}});
     stopEventLog();
 }
--- a/Libraries/Entry/entry_daemon.h
+++ b/Libraries/Entry/entry_daemon.h
@@ -11,8 +11,8 @@
 
 namespace vetchpost {
 
-/// A daemon on a platform whose replicas report themselves in the key-value service: serves clients, and assembles groups while it
-/// coordinates.
+/// A daemon for a platform on which replicas register themselves in the key-value service. Serves clients, and assembles groups while it is
+/// the coordinator.
 class entry_daemon
 {
 public:
@@ -23,10 +23,10 @@
     entry_daemon(const entry_daemon &) = delete;
     entry_daemon &operator=(const entry_daemon &) = delete;
 
-    /// Binds the listeners and starts. Throws where an address cannot be bound.
+    /// Binds the listeners and starts all threads. Throws if an address cannot be bound.
     void start();
-    /// Says not-ready, serves what it holds to the end within the stop grace, then returns. The process has to end after it: requests that
-    /// outlast the grace are still on their threads.
+    /// Reports not ready, finishes the requests that it holds within the stop grace, and returns. The process must exit afterwards:
+    /// requests that outlast the grace still run on their threads.
     void stop();
 
 private:
--- a/Libraries/Entry/entry_view.cpp
+++ b/Libraries/Entry/entry_view.cpp
@@ -9,25 +9,25 @@
 
 namespace {
 
-/// What a replica in another data centre costs more, in outstanding requests: bytes between data centres are paid for, and other daemons
-/// there load it as well.
-constexpr double otherDataCentreCost = 0.3;
-/// The same for a group while little is late: the near one is taken until it holds two requests of this daemon more than a far one, so
-/// that fewer bytes go between data centres.
-constexpr double otherDataCentreCostInCalm = 1.3;
-/// A replica that was never tried counts as this quick (milliseconds).
-constexpr double assumedAnswerTime = 100;
-/// A place counts as slow from so many times the usual time of its kind on: prompts differ that much.
-constexpr double slowFactor = 2;
-/// After so long half of what was measured is forgotten, so that a place that was slow once is tried again.
-constexpr duration forgetting(2000);
-
-/// The middle one (the lower of two) of the known times to the first event; 0 where none is known.
-double usualTime(const std::vector<backend> &candidates)
+/// Additional cost of a replica in another data centre, in outstanding requests: traffic between data centres is paid for, and the daemons
+/// there load the replica as well.
+constexpr double remoteReplicaCost = 0.3;
+/// Additional cost of a group in another data centre while near groups are preferred: a near group is chosen until it holds two more
+/// requests of this daemon than a far one, which saves traffic between data centres.
+constexpr double remoteGroupCost = 1.3;
+/// Assumed for a replica without a measured response time (milliseconds).
+constexpr double assumedResponseTime = 100;
+/// A backend counts as slow from this multiple of the median response time on; smaller differences come from the prompts.
+constexpr double slowThreshold = 2;
+/// Half-life of a measured slowness, so that a backend which was slow once is tried again.
+constexpr duration slownessHalfLife(2000);
+
+/// The median (the lower of two middle values) of the known response times in milliseconds; 0 if none is known.
+double medianResponseTime(const std::vector<backend> &candidates)
 {
     std::vector<double> times;
     for (const auto &candidate : candidates) {
-        if (const auto time = candidate.load->answerTime.load(); time > 0) {
+        if (const auto time = candidate.load->responseTime.load(); time > 0) {
             times.push_back(time);
         }
     }
@@ -39,33 +39,37 @@
     return *middle;
 }
 
-/// How many times as slow as usual a place is, 1 within the usual.
-double slowness(const backend_load &load, double usual, instant now)
+/// The ratio of a backend's response time to the usual one, which decays towards 1 with the age of the measurement; 1 below
+/// slowThreshold.
+double slownessFactor(const backend_load &load, double usual, instant now)
 {
-    const auto times = usual > 0 ? load.answerTime.load() / usual : 1;
-    if (times < slowFactor) {
+    const auto ratio = usual > 0 ? load.responseTime.load() / usual : 1;
+    if (ratio < slowThreshold) {
         return 1;
     }
-    const auto age = static_cast<double>(now.time_since_epoch().count() - load.answerTimeAt.load());
-    return 1 + (times - 1) * std::exp2(-age / static_cast<double>(forgetting.count()));
+    const auto age = static_cast<double>(now.time_since_epoch().count() - load.responseTimeAt.load());
+    return 1 + (ratio - 1) * std::exp2(-age / static_cast<double>(slownessHalfLife.count()));
 }
 
-/// Replicas of a plain service differ in speed for good, and each daemon sends them enough to know it.
+/// The expected time to a response, in milliseconds per slot. Replicas of a plain service differ permanently in speed, and each daemon
+/// sends them enough requests to measure it.
 double costOfReplica(const backend &candidate, const data_centre_id &dataCentre)
 {
     const auto &load = *candidate.load;
-    const auto time = load.answerTime.load();
-    const auto distance = candidate.dataCentre == dataCentre ? 0 : otherDataCentreCost;
-    return (1 + load.outstanding.load() + distance) * (time > 0 ? time : assumedAnswerTime) / std::max(1, candidate.slots);
+    const auto time = load.responseTime.load();
+    const auto distance = candidate.dataCentre == dataCentre ? 0 : remoteReplicaCost;
+    return (1 + load.outstanding.load() + distance) * (time > 0 ? time : assumedResponseTime) / std::max(1, candidate.slots);
 }
 
+/// The cost of a group in outstanding requests per slot.
 double costOfGroup(const backend &candidate, double distance, double usual, instant now)
 {
-    return (1 + candidate.load->outstanding.load() + distance) * slowness(*candidate.load, usual, now) / std::max(1, candidate.slots);
+    return (1 + candidate.load->outstanding.load() + distance) * slownessFactor(*candidate.load, usual, now) / std::max(1, candidate.slots);
 }
 
-/// A place that is new here takes its first turn anywhere among the others' turns: if all daemons began with it, it would be full at once.
-void placeNew(const std::vector<backend> &candidates, std::uint64_t turn, std::uint64_t draw)
+/// Sets the last turn of new backends to a random one among the others' turns. If all daemons chose a new backend first, it would be full
+/// at once.
+void assignFirstTurns(const std::vector<backend> &candidates, std::uint64_t turn, std::uint64_t draw)
 {
     auto oldest = turn - 1;
     for (const auto &candidate : candidates) {
@@ -79,12 +83,12 @@
     }
 }
 
-bool isAmong(const std::vector<instance_id> &tried, const backend &candidate)
+bool wasTried(const std::vector<instance_id> &tried, const backend &candidate)
 {
     return std::find(tried.begin(), tried.end(), candidate.replica) != tried.end();
 }
 
-bool isPassedOver(const backend_load &load, instant now)
+bool isAvoided(const backend_load &load, instant now)
 {
     return load.avoidedUntil.load() > now.time_since_epoch().count() || isQuiet(load, now);
 }
@@ -93,19 +97,19 @@
 
 void avoid(backend_load &load, instant now)
 {
-    load.avoidedUntil = (now + avoidance).time_since_epoch().count();
+    load.avoidedUntil = (now + avoidanceTime).time_since_epoch().count();
 }
 
-void noteRejection(backend_load &load, instant now)
+void recordRejection(backend_load &load, instant now)
 {
-    // Beyond this many the time no longer grows.
+    // More doublings would exceed longestRejectionAvoidance.
     constexpr int mostDoublings = 3;
     const auto doublings = std::min(load.rejections.fetch_add(1), mostDoublings);
     const auto time = std::min(firstRejectionAvoidance * (1 << doublings), longestRejectionAvoidance);
     load.avoidedUntil = std::max(load.avoidedUntil.load(), (now + time).time_since_epoch().count());
 }
 
-void noteAdmission(backend_load &load)
+void recordAdmission(backend_load &load)
 {
     load.rejections = 0;
 }
@@ -113,7 +117,7 @@
 bool isQuiet(const backend_load &load, instant now)
 {
     const auto last = load.lastProgress.load();
-    return load.outstanding.load() > 0 && last > 0 && now.time_since_epoch().count() - last > quietPause.count();
+    return load.outstanding.load() > 0 && last > 0 && now.time_since_epoch().count() - last > quietTimeout.count();
 }
 
 const std::vector<backend> &entry_view::backends(const served_service &service, const model_id &model) const
@@ -129,7 +133,7 @@
 
 backend entry_view_builder::makeBackend(const served_replica &replica, const group_id &group, formation formed)
 {
-    // A group that was formed anew, and a replica that started again, begin with a clean record.
+    // A newly formed group and a restarted replica begin with a new load.
     const auto key = replica.id.value() + "/" + std::to_string(replica.life.value()) + "/" + std::to_string(formed.value());
     auto load = m_loads[key].lock();
     if (!load) {
@@ -174,12 +178,12 @@
 
 bool hasUntried(const std::vector<backend> &candidates, const std::vector<instance_id> &tried)
 {
-    return std::any_of(candidates.begin(), candidates.end(), [&](const backend &candidate) { return !isAmong(tried, candidate); });
+    return std::any_of(candidates.begin(), candidates.end(), [&](const backend &candidate) { return !wasTried(tried, candidate); });
 }
 
-// A daemon among many holds a hundredth of a group's requests: their number tells little, and the smoothed time to the first event is from
-// seconds ago. Taking turns spreads the requests of all daemons more evenly than either, and than numbers that all daemons share at long
-// intervals: with these all run to the same place.
+// One daemon among many holds about a hundredth of a group's requests, so that their number says little, and the smoothed time to the first
+// event is seconds old. Taking turns spreads the requests of all daemons more evenly than either. It is also better than loads that all
+// daemons share at long intervals, by which all of them choose the same backend.
 const backend *chooseBackend(const std::vector<backend> &candidates,
                              const std::vector<instance_id> &tried,
                              const data_centre_id &dataCentre,
@@ -188,27 +192,27 @@
                              std::uint64_t draw,
                              bool prefersNear)
 {
-    placeNew(candidates, turn, draw);
-    const auto usual = usualTime(candidates);
-    // The best place, and the best among those in trouble.
+    assignFirstTurns(candidates, turn, draw);
+    const auto usual = medianResponseTime(candidates);
+    // The best backend, and the best among those that are avoided.
     std::array<const backend *, 2> best{};
     std::array<std::pair<double, std::uint64_t>, 2> least;
     for (std::size_t i = 0; i < candidates.size(); ++i) {
         const auto &candidate = candidates[(i + draw) % candidates.size()];
-        if (isAmong(tried, candidate)) {
+        if (wasTried(tried, candidate)) {
             continue;
         }
-        const auto distance = prefersNear && candidate.dataCentre != dataCentre ? otherDataCentreCostInCalm : 0;
+        const auto distance = prefersNear && candidate.dataCentre != dataCentre ? remoteGroupCost : 0;
         const auto cost = candidate.group.isEmpty() ? costOfReplica(candidate, dataCentre) : costOfGroup(candidate, distance, usual, now);
         const std::pair next(cost, candidate.load->lastTurn.load());
-        const std::size_t kind = isPassedOver(*candidate.load, now) ? 1 : 0;
+        const std::size_t kind = isAvoided(*candidate.load, now) ? 1 : 0;
         if (best.at(kind) == nullptr || next < least.at(kind)) {
             best.at(kind) = &candidate;
             least.at(kind) = next;
         }
     }
     if (best[0] != nullptr && best[1] != nullptr && least[1] < least[0]) {
-        // Its turn is over, so that not all daemons come back to it at once.
+        // The avoided backend loses its turn, so that not all daemons return to it at once.
         best[1]->load->lastTurn = turn;
     }
     const auto *chosen = best[0] == nullptr ? best[1] : best[0];
--- a/Libraries/Entry/entry_view.h
+++ b/Libraries/Entry/entry_view.h
@@ -12,73 +12,80 @@
 
 namespace vetchpost {
 
-/// What this daemon knows of one place that requests are sent to, from its own requests alone. Outlives the views.
+/// The load of one backend as seen by this daemon's own requests. Shared by successive views.
 struct backend_load
 {
+    /// Requests of this daemon that the backend holds.
     std::atomic<int> outstanding = 0;
-    /// Smoothed time to the first event, or to the answer, in milliseconds; 0 before the first.
-    std::atomic<double> answerTime = 0;
-    /// When it was last measured (milliseconds of the decision clock).
-    std::atomic<std::int64_t> answerTimeAt = 0;
-    /// The daemon's turn that last went to this place, or passed it over; 0 before the first.
+    /// Smoothed time to the first event, or to the response of a request without events, in milliseconds; 0 before the first.
+    std::atomic<double> responseTime = 0;
+    /// When responseTime was last updated (milliseconds of the monotonic clock).
+    std::atomic<std::int64_t> responseTimeAt = 0;
+    /// The daemon's turn in which this backend was last chosen, or lost its turn because it is avoided; 0 before the first.
     std::atomic<std::uint64_t> lastTurn = 0;
-    /// Nothing is sent there before this time, while another place is there (milliseconds of the decision clock).
+    /// The backend is avoided until this time, while there is another one (milliseconds of the monotonic clock).
     std::atomic<std::int64_t> avoidedUntil = 0;
-    /// Rejections there since it last took a request.
+    /// Rejections since the backend last admitted a request.
     std::atomic<int> rejections = 0;
-    /// When bytes last came from there (milliseconds of the decision clock).
+    /// When bytes were last received from the backend (milliseconds of the monotonic clock).
     std::atomic<std::int64_t> lastProgress = 0;
-    /// When the coordinator last told that the place is likely to stand still (milliseconds of the decision clock).
-    std::atomic<std::int64_t> doubtedAt = 0;
+    /// When the coordinator last warned that the backend is likely to be stalled (milliseconds of the monotonic clock).
+    std::atomic<std::int64_t> stallWarnedAt = 0;
 };
 
-/// A place that stood still or broke off is passed over for so long, while there is another.
-constexpr duration avoidance(3000);
-/// A place where requests wait and nothing came for so long is passed over too: longer than the longest pause that keeps a stream in time.
-constexpr duration quietPause(300);
+/// How long a backend that stalled or lost a connection is avoided, while there is another.
+constexpr duration avoidanceTime(3000);
+/// A backend with outstanding requests that sent nothing for this time is avoided too. Longer than the longest gap allowed within a stream.
+constexpr duration quietTimeout(300);
 
+/// Marks a backend as avoided for avoidanceTime.
 void avoid(backend_load &load, instant now);
 
-/// A place that rejected a request without a time of rest is passed over for so long, while there is another; twice as long with each
-/// further rejection, up to the longest.
+/// How long a backend that rejected a request without stating a backoff is avoided, while there is another. Doubles with each further
+/// rejection, up to longestRejectionAvoidance.
 constexpr duration firstRejectionAvoidance(250);
 constexpr duration longestRejectionAvoidance(2000);
 
-/// A place that rejects is quick and has nothing outstanding: without this it would look like the best one.
-void noteRejection(backend_load &load, instant now);
-/// The place has taken a request.
-void noteAdmission(backend_load &load);
-/// Whether requests wait at a place that sent nothing for a while.
+/// Records that a backend rejected a request, and avoids it for a while. A backend that rejects responds fast and has nothing outstanding,
+/// so that it would otherwise look like the best one.
+void recordRejection(backend_load &load, instant now);
+/// Records that a backend admitted a request, which resets its rejections.
+void recordAdmission(backend_load &load);
+/// Whether a backend with outstanding requests has sent nothing for longer than quietTimeout.
 bool isQuiet(const backend_load &load, instant now);
 
-/// One place that requests can be sent to: a replica of a plain service, or the head of a group.
+/// A target for requests: a replica of a plain service, or the head of a group.
 struct backend
 {
     instance_id replica;
     endpoint address;
     data_centre_id dataCentre;
+    /// Empty for a replica of a plain service.
     group_id group;
+    /// Requests that the backend runs at once.
     int slots = 1;
     std::shared_ptr<backend_load> load;
     replica_life life = {};
 };
 
-/// All that a request is routed by. Never changes once it is made.
+/// An immutable snapshot of everything that requests are routed by.
 struct entry_view
 {
     std::shared_ptr<const route_table> routes;
-    /// The replicas' entries have been listed: what is not here is not there.
+    /// Whether the replicas' entries have been listed, so that a replica which is missing here does not exist.
     bool isListed = false;
-    /// The replicas of plain services.
+    /// The replicas of plain services that do not drain.
     std::map<service_id, std::vector<backend>> replicas;
-    /// The heads of groups that take requests.
+    /// The heads of groups that accept requests.
     std::map<std::pair<service_id, model_id>, std::vector<backend>> groups;
+    /// The data centre of this daemon.
     data_centre_id dataCentre;
 
+    /// The backends for a model of a service; plain services ignore the model.
     const std::vector<backend> &backends(const served_service &service, const model_id &model) const;
 };
 
-/// Makes views and keeps the loads of places that stay.
+/// Builds views, and hands the loads of backends that stay from one view to the next.
 class entry_view_builder
 {
 public:
@@ -88,17 +95,19 @@
 private:
     backend makeBackend(const served_replica &replica, const group_id &group, formation formed);
 
+    /// By replica, its incarnation and the formation of its group.
     std::map<std::string, std::weak_ptr<backend_load>> m_loads;
 };
 
-/// Whether there is a place that was not tried yet.
+/// Whether there is a candidate that has not been tried yet.
 bool hasUntried(const std::vector<backend> &candidates, const std::vector<instance_id> &tried);
 
-/// The place for the next request: of groups the one with the fewest own requests, and of equals the one whose turn it is, a slow one
-/// counting as fuller; of plain replicas the one that promises the earliest answer. Places in \a tried are passed over; nullptr where none
-/// is left. Notes the \a turn, a number that rises with each choice of the daemon, at the places that had theirs. \a draw decides between
-/// equals and gives new places their first turn. With \a prefersNear groups of other data centres count as fuller; without it all are
-/// alike, so that no group is full while another one, further away, has room.
+/// Chooses the backend for the next request, or nullptr if all candidates are in \a tried. Backends that are avoided come last.
+/// Groups: the one with the fewest requests of this daemon per slot, weighted by slowness; equals take turns. Plain replicas: the one with
+/// the earliest expected response.
+/// \a turn, a number that rises with each choice of the daemon, is stored in the loads of the backends whose turn it was. \a draw is a
+/// random number that breaks ties and sets the first turn of new backends. With \a prefersNear a group in another data centre costs more;
+/// without it all data centres are equal, so that no group is full while a more distant one has free slots.
 const backend *chooseBackend(const std::vector<backend> &candidates,
                              const std::vector<instance_id> &tried,
                              const data_centre_id &dataCentre,
--- a/Libraries/Entry/feed_socket.cpp
+++ b/Libraries/Entry/feed_socket.cpp
@@ -35,7 +35,7 @@
     explicit private_data(metrics &counters)
         : sent(counters.addCounter("vetchpost_feed_datagrams_sent_total", "Datagrams sent to other daemons."))
         , received(counters.addCounter("vetchpost_feed_datagrams_received_total", "Datagrams received from other daemons."))
-        , unreadable(counters.addCounter("vetchpost_feed_datagrams_unreadable_total", "Datagrams that are no message."))
+        , unreadable(counters.addCounter("vetchpost_feed_datagrams_unreadable_total", "Received datagrams that could not be decoded."))
     {
     }
 
@@ -77,7 +77,7 @@
         }
         d->unreadable.increment();
     } catch (const Poco::Exception &error) {
-        // A datagram to a daemon that has ended comes back as an error; the next ones are not concerned.
+        // A datagram sent to a daemon that has ended causes an error here. It does not concern later datagrams.
         feedLog.write("receive_failed", {{"why", error.displayText()}});
     }
     return std::nullopt;
--- a/Libraries/Entry/feed_socket.h
+++ b/Libraries/Entry/feed_socket.h
@@ -11,7 +11,7 @@
 
 namespace vetchpost {
 
-/// The datagrams of the feed: counts them, and logs those that could not be sent or received. One thread receives, any may send.
+/// Sends and receives the datagrams of the feed. Counts them, and logs failures to send or receive. One thread may receive; any may send.
 class feed_socket
 {
 public:
@@ -20,10 +20,11 @@
     feed_socket(const feed_socket &) = delete;
     feed_socket &operator=(const feed_socket &) = delete;
 
-    /// Throws where the address cannot be had.
+    /// Throws if the address cannot be bound.
     void bind(const endpoint &address);
-    /// Nothing where none came in time, or none that is a message.
+    /// Waits up to \a time for a datagram. Returns its sender and message; nothing on timeout, on a failure, or if it is no valid message.
     std::optional<std::pair<endpoint, feed_message>> receive(duration time);
+    /// Sends the message to each of the datagram's receivers.
     void send(const feed_datagram &datagram);
     void sendAll(const std::vector<feed_datagram> &datagrams);
 
--- a/Libraries/Entry/standing_log.cpp
+++ b/Libraries/Entry/group_status_log.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Libraries/Entry/standing_log.h"
+#include "Libraries/Entry/group_status_log.h"
 
 #include "Libraries/Assembly/domain_summary.h"
 #include "Libraries/Base/event_log.h"
@@ -12,7 +12,7 @@
 
 } // namespace
 
-void logStanding(const assembly_view &view, const assembly_state &assembly)
+void logGroupStatus(const assembly_view &view, const assembly_state &assembly)
 {
     assemblyLog.write("domains", {{"service", view.service.value()}, {"what", summariseDomains(assembly, view)}});
     for (const auto &model : standingOf(assembly, view.engine)) {
--- a/Libraries/Entry/peer_feed.cpp
+++ b/Libraries/Entry/peer_feed.cpp
@@ -21,9 +21,9 @@
 constexpr event_log feedLog("feed");
 /// How long changes are gathered before the source sends them on.
 constexpr duration pushPeriod(120);
-/// A thread without anything to send looks this often whether it should stop.
+/// How often an idle thread checks whether it should stop.
 constexpr duration idlePeriod(250);
-/// Datagrams that are taken before anything is sent: a second's from some hundred followers.
+/// Datagrams that are received before anything is sent. Some hundred followers send this many in a second.
 constexpr std::size_t datagramsPerRound = 256;
 
 } // namespace
@@ -35,42 +35,42 @@
     store_follower &store;
     shared_suspects &suspects;
     shared_constraints &constraints;
-    std::function<std::vector<model_demand>()> heldHere;
-    std::function<void(const stall_report &)> didHearStall;
-    std::function<void(const group_stall_warning &)> didHearDoubt;
+    std::function<std::vector<model_demand>()> localDemand;
+    std::function<void(const stall_report &)> didReceiveStallReport;
+    std::function<void(const group_stall_warning &)> didReceiveStallWarning;
     feed_socket socket;
 
     mutable std::mutex mutex;
     feed_follower follower;
     feed_role role;
-    /// Where what this daemon is fed was read.
+    /// The daemon that reads the key-value service for all, by the updates of this daemon's source. Permits are requested from it.
     std::optional<endpoint> origin;
-    std::map<instance_id, instant> passedNotices;
-    /// Set with the first request, or from the start where the system runs already.
+    std::map<instance_id, instant> lastForwards;
+    /// Set with the first request, or from the start if the system is running already.
     std::atomic<bool> wantsReplicas = false;
     std::atomic<bool> isStopping = false;
     std::thread thread;
 
     private_data(const entry_settings &entrySettings,
-                 store_follower &follows,
-                 shared_suspects &shared,
+                 store_follower &storeFollower,
+                 shared_suspects &sharedSuspects,
                  shared_constraints &sharedConstraints,
                  metrics &counters,
-                 std::function<std::vector<model_demand>()> held,
-                 std::function<void(const stall_report &)> hearStall,
-                 std::function<void(const group_stall_warning &)> hearDoubt)
+                 std::function<std::vector<model_demand>()> demandSource,
+                 std::function<void(const stall_report &)> handleStallReport,
+                 std::function<void(const group_stall_warning &)> stallWarningListener)
         : settings(entrySettings)
         , timing(feedTiming(oldestConfiguration(entrySettings)))
-        , store(follows)
-        , suspects(shared)
+        , store(storeFollower)
+        , suspects(sharedSuspects)
         , constraints(sharedConstraints)
-        , heldHere(std::move(held))
-        , didHearStall(std::move(hearStall))
-        , didHearDoubt(std::move(hearDoubt))
+        , localDemand(std::move(demandSource))
+        , didReceiveStallReport(std::move(handleStallReport))
+        , didReceiveStallWarning(std::move(stallWarningListener))
         , socket(counters)
     {
         wantsReplicas = !settings.isFirstStart;
-        // Answers to an earlier run of this daemon must not pass for answers to this one.
+        // A random start keeps answers to an earlier run of this daemon from being taken for answers to this one.
         std::random_device random;
         follower.lastNonce = random();
     }
@@ -79,66 +79,66 @@
     {
         instant nextPush = monotonicNow();
         while (!isStopping) {
-            receiveFor(isSource() ? pushPeriod : untilSubscription());
-            // Once for all that came together: each time the daemon's view is made anew.
-            constraints.tellLearned();
+            receiveDatagrams(isSource() ? pushPeriod : untilSubscription());
+            // Once for all batches that arrived together, since each call rebuilds the daemon's view.
+            constraints.notifyDepartures();
             if (isSource() && monotonicNow() >= nextPush) {
                 nextPush = monotonicNow() + pushPeriod;
                 socket.sendAll(store.pendingPushes());
             } else if (!isSource()) {
-                // What a relay reads itself while it has no source.
+                // The changes that a relay reads itself while it has no source.
                 socket.sendAll(store.pendingPushes());
                 subscribeIfDue();
             }
-            spreadTables();
+            syncTables();
         }
     }
 
-    /// A source that has not answered yet may not know this daemon as a follower.
-    std::optional<endpoint> heardSource() const
+    /// Returns the source once it has answered; before that it may not know this daemon as a follower.
+    std::optional<endpoint> answeringSource() const
     {
         const std::lock_guard lock(mutex);
         return !role.isSource && follower.hasSourceAnswered ? follower.source : std::nullopt;
     }
 
-    void spreadTables()
+    void syncTables()
     {
-        const auto source = heardSource();
+        const auto source = answeringSource();
         const auto followers = store.activeFollowers();
-        socket.sendAll(suspects.due(source, followers));
-        socket.sendAll(constraints.due(source, followers));
+        socket.sendAll(suspects.dueBatches(source, followers));
+        socket.sendAll(constraints.dueBatches(source, followers));
     }
 
-    /// From any daemon: one that has just found another source may still hold what this one lacks.
-    void take(const suspect_batch &list, const endpoint &from)
+    /// Accepts batches of any daemon: one that has just changed its source may still have entries that this one lacks.
+    void handle(const suspect_batch &list, const endpoint &from)
     {
-        socket.send(suspects.take(list, from));
-        spreadTables();
+        socket.send(suspects.receiveBatch(list, from));
+        syncTables();
     }
 
-    void take(const constraint_batch &list, const endpoint &from)
+    void handle(const constraint_batch &list, const endpoint &from)
     {
-        socket.send(constraints.take(list, from));
-        spreadTables();
+        socket.send(constraints.receiveBatch(list, from));
+        syncTables();
     }
 
-    void take(const constraint_ack &receipt, const endpoint &from)
+    void handle(const constraint_ack &receipt, const endpoint &from)
     {
-        constraints.take(receipt, from);
+        constraints.receiveAck(receipt, from);
     }
 
-    /// Of the source alone: two daemons that issued permits for one replica would exceed its limit.
-    void take(const permit_question &question, const endpoint &from)
+    /// Only the source issues permits: two daemons that issued them for one replica would exceed its limit.
+    void handle(const permit_question &question, const endpoint &from)
     {
         if (isSource()) {
             socket.send({{from}, constraints.issue(question, from)});
         }
     }
 
-    void take(const permit_answer &answer, const endpoint &from)
+    void handle(const permit_answer &answer, const endpoint &from)
     {
         if (from == knownOrigin()) {
-            constraints.take(answer);
+            constraints.addPermits(answer);
         }
     }
 
@@ -148,10 +148,10 @@
         return origin;
     }
 
-    bool askForPermit(const permit_question &question)
+    bool requestPermit(const permit_question &question)
     {
         if (isSource()) {
-            constraints.take(constraints.issue(question, settings.peers));
+            constraints.addPermits(constraints.issue(question, settings.peers));
             return true;
         }
         const auto to = knownOrigin();
@@ -161,9 +161,9 @@
         return to.has_value();
     }
 
-    void take(const suspect_ack &receipt, const endpoint &from)
+    void handle(const suspect_ack &receipt, const endpoint &from)
     {
-        suspects.take(receipt, from);
+        suspects.receiveAck(receipt, from);
     }
 
     duration untilSubscription() const
@@ -173,9 +173,9 @@
         return std::clamp(left, duration(1), idlePeriod);
     }
 
-    /// Takes the datagrams that are there, or the first that comes in time. Of the subscriptions of one follower only the latest is
-    /// answered: a source that is behind would else answer questions whose askers no longer wait, and never catch up.
-    void receiveFor(duration time)
+    /// Waits up to \a time for a datagram, and handles it and those that have arrived since. Only the latest subscription of each follower
+    /// is answered: an overloaded source would otherwise answer subscriptions that have timed out, and never catch up.
+    void receiveDatagrams(duration time)
     {
         std::map<endpoint, feed_subscription> subscriptions;
         auto wait = time;
@@ -188,29 +188,29 @@
             if (const auto *subscription = std::get_if<feed_subscription>(&datagram->second)) {
                 subscriptions.insert_or_assign(datagram->first, *subscription);
             } else {
-                std::visit([&](const auto &body) { take(body, datagram->first); }, datagram->second);
+                std::visit([&](const auto &body) { handle(body, datagram->first); }, datagram->second);
             }
         }
         for (const auto &[from, subscription] : subscriptions) {
-            take(subscription, from);
+            handle(subscription, from);
         }
     }
 
-    void take(const feed_subscription &subscription, const endpoint &from)
+    void handle(const feed_subscription &subscription, const endpoint &from)
     {
         if (!servesFollowers()) {
             socket.send({{from}, feed_end()});
             return;
         }
         if (subscription.wantsReplicas) {
-            store.noteTraffic();
-            noteTraffic();
+            store.recordTraffic();
+            recordTraffic();
         }
         socket.sendAll(store.answerSubscription(subscription, from, isSource()));
     }
 
-    /// Tells its own source at once: the coordinator's loads are counted from the first request on.
-    void noteTraffic()
+    /// Subscribes again at once after the first request, since the coordinator counts loads from the first request on.
+    void recordTraffic()
     {
         if (!wantsReplicas.exchange(true)) {
             const std::lock_guard lock(mutex);
@@ -230,7 +230,7 @@
         return role.isSource;
     }
 
-    void take(const feed_referral &referral, const endpoint &from)
+    void handle(const feed_referral &referral, const endpoint &from)
     {
         const std::lock_guard lock(mutex);
         if (referral.relay != settings.peers && acceptReferral(follower, from, referral.relay, monotonicNow())) {
@@ -238,7 +238,7 @@
         }
     }
 
-    void take(const feed_update &update, const endpoint &from)
+    void handle(const feed_update &update, const endpoint &from)
     {
         std::optional<instant> asked;
         {
@@ -258,28 +258,28 @@
                 feedLog.write("source_heard", {{"source", from.text()}, {"hops", update.origin.hops}, {"daemons", update.daemons}});
             }
         }
-        store.takeUpdate(update, asked);
-        // At once, so that a relay adds nothing to the time for which the source gathers changes.
+        store.applyUpdate(update, asked);
+        // Sent at once, so that a relay adds nothing to the time for which the source gathers changes.
         socket.sendAll(store.pendingPushes());
     }
 
-    void take(const stall_report &notice, const endpoint & /*from*/)
+    void handle(const stall_report &report, const endpoint & /*from*/)
     {
         if (isSource()) {
-            didHearStall(notice);
-        } else if (mayPassNotice(notice.replica)) {
-            sendToSource(notice);
+            didReceiveStallReport(report);
+        } else if (mayForwardReport(report.replica)) {
+            sendToSource(report);
         }
     }
 
-    bool mayPassNotice(const instance_id &head)
+    bool mayForwardReport(const instance_id &head)
     {
         const std::lock_guard lock(mutex);
-        return mayNotice(passedNotices, head, monotonicNow());
+        return mayNotice(lastForwards, head, monotonicNow());
     }
 
-    /// False where no source is known.
-    bool sendToSource(const stall_report &notice)
+    /// Returns false if no source is known.
+    bool sendToSource(const stall_report &report)
     {
         std::optional<endpoint> to;
         {
@@ -287,7 +287,7 @@
             to = follower.source;
         }
         if (to) {
-            socket.send({{*to}, notice});
+            socket.send({{*to}, report});
         }
         return to.has_value();
     }
@@ -298,24 +298,24 @@
         return from == follower.source;
     }
 
-    void take(const group_stall_warning &doubt, const endpoint &from)
+    void handle(const group_stall_warning &warning, const endpoint &from)
     {
         if (isFromSource(from)) {
-            didHearDoubt(doubt);
-            socket.send({store.activeFollowers(), doubt});
+            didReceiveStallWarning(warning);
+            socket.send({store.activeFollowers(), warning});
         }
     }
 
-    void take(const feed_end & /*message*/, const endpoint &from)
+    void handle(const feed_end & /*message*/, const endpoint &from)
     {
         const std::lock_guard lock(mutex);
         if (from == follower.source) {
-            giveUpSource("the source has ended");
+            abandonSource("the source has ended");
         }
     }
 
-    /// The mutex is held.
-    void giveUpSource(const std::string &why)
+    /// Drops the source, and follows the coordinator instead if it was a relay. Requires the mutex to be held.
+    void abandonSource(const std::string &why)
     {
         const auto lost = follower.source ? follower.source->text() : std::string();
         const bool hasNext = dropSource(follower, monotonicNow());
@@ -325,7 +325,7 @@
     void subscribeIfDue()
     {
         const auto upTo = store.replicasUpTo();
-        const auto daemonsHere = store.daemonsHeard();
+        const auto daemonsHere = store.knownDaemons();
         feed_datagram datagram;
         {
             const std::lock_guard lock(mutex);
@@ -334,7 +334,7 @@
                 return;
             }
             if (hasSourceTimedOut(follower, timing.sourceTimeout, now)) {
-                giveUpSource("the source is silent");
+                abandonSource("the source is silent");
                 return;
             }
             follower.nextSubscription = now + (daemonsHere > 1 ? timing.relaySubscriptionPeriod : timing.subscription);
@@ -346,7 +346,7 @@
         }
         auto &demand = std::get<feed_subscription>(datagram.message).demand;
         demand = store.followersDemand();
-        for (auto &held : heldHere()) {
+        for (auto &held : localDemand()) {
             demand.push_back(std::move(held));
         }
         socket.send(datagram);
@@ -358,11 +358,17 @@
                      shared_suspects &suspects,
                      shared_constraints &constraints,
                      metrics &counters,
-                     std::function<std::vector<model_demand>()> heldHere,
-                     std::function<void(const stall_report &)> didHearStall,
-                     std::function<void(const group_stall_warning &)> didHearDoubt)
-    : d(std::make_unique<private_data>(
-        settings, store, suspects, constraints, counters, std::move(heldHere), std::move(didHearStall), std::move(didHearDoubt)))
+                     std::function<std::vector<model_demand>()> localDemand,
+                     std::function<void(const stall_report &)> didReceiveStallReport,
+                     std::function<void(const group_stall_warning &)> didReceiveStallWarning)
+    : d(std::make_unique<private_data>(settings,
+                                       store,
+                                       suspects,
+                                       constraints,
+                                       counters,
+                                       std::move(localDemand),
+                                       std::move(didReceiveStallReport),
+                                       std::move(didReceiveStallWarning)))
 {
 }
 
@@ -387,35 +393,35 @@
     }
 }
 
-// Those that this daemon passes the feed on to need not wait until it is silent.
-void peer_feed::endPassingOn()
+// The followers are told, so that they need not detect this daemon's silence.
+void peer_feed::endRelaying()
 {
-    bool mustTell = false;
+    bool mustNotify = false;
     {
         const std::lock_guard lock(d->mutex);
-        mustTell = !std::exchange(d->role.isEnding, true) && !d->role.isSource;
+        mustNotify = !std::exchange(d->role.isEnding, true) && !d->role.isSource;
     }
-    if (mustTell) {
-        d->socket.sendAll(d->store.endOfFeed());
+    if (mustNotify) {
+        d->socket.sendAll(d->store.endFeed());
     }
 }
 
 void peer_feed::setSource(bool isSource)
 {
-    bool was = false;
+    bool wasSource = false;
     {
         const std::lock_guard lock(d->mutex);
-        was = vetchpost::setSource(d->role, isSource);
+        wasSource = vetchpost::setSource(d->role, isSource);
     }
     d->store.setSource(isSource);
-    if (was != isSource) {
-        d->constraints.beginIssuing();
+    if (wasSource != isSource) {
+        d->constraints.resetPermits();
     }
     if (isSource) {
         d->store.setOrigin({d->settings.peers, 0}, 0);
     }
-    if (was && !isSource) {
-        d->socket.sendAll(d->store.endOfFeed());
+    if (wasSource && !isSource) {
+        d->socket.sendAll(d->store.endFeed());
     }
 }
 
@@ -430,9 +436,9 @@
     vetchpost::follow(d->follower, source, monotonicNow());
 }
 
-void peer_feed::noteTraffic()
+void peer_feed::recordTraffic()
 {
-    d->noteTraffic();
+    d->recordTraffic();
 }
 
 bool peer_feed::hasTraffic() const
@@ -440,25 +446,25 @@
     return d->wantsReplicas;
 }
 
-void peer_feed::spreadTables()
+void peer_feed::syncTables()
 {
-    d->spreadTables();
+    d->syncTables();
 }
 
-bool peer_feed::askForPermit(const permit_question &question)
+bool peer_feed::requestPermit(const permit_question &question)
 {
-    return d->askForPermit(question);
+    return d->requestPermit(question);
 }
 
-bool peer_feed::tellStall(const stall_report &notice)
+bool peer_feed::sendStallReport(const stall_report &report)
 {
-    return d->sendToSource(notice);
+    return d->sendToSource(report);
 }
 
-void peer_feed::tellDoubt(const instance_id &head)
+void peer_feed::sendStallWarning(const instance_id &head)
 {
     d->socket.send({d->store.activeFollowers(), group_stall_warning{head}});
-    d->didHearDoubt({head});
+    d->didReceiveStallWarning({head});
 }
 
 bool peer_feed::isSourceActive() const
@@ -469,11 +475,11 @@
 
 std::optional<int> peer_feed::daemons() const
 {
-    const auto heard = d->isSource() ? std::optional(d->store.daemonsHeard()) : std::nullopt;
+    const auto ownCount = d->isSource() ? std::optional(d->store.knownDaemons()) : std::nullopt;
     const std::lock_guard lock(d->mutex);
-    if (heard) {
-        // A daemon that has just become the source has heard nobody yet.
-        recordDaemonCount(d->follower, *heard, monotonicNow());
+    if (ownCount) {
+        // A daemon that has just become the source has no subscriptions yet.
+        recordDaemonCount(d->follower, *ownCount, monotonicNow());
     }
     return d->follower.daemons;
 }
--- a/Libraries/Entry/peer_feed.h
+++ b/Libraries/Entry/peer_feed.h
@@ -12,51 +12,55 @@
 
 namespace vetchpost {
 
-/// The datagrams between daemons: the coordinator passes on what it reads from the key-value service, the others follow it and tell it of
-/// groups that stand still. Nothing depends on a datagram's arrival: a daemon that hears no source asks the service itself.
+/// Exchanges datagrams with the other daemons. The coordinator is the source, which relays what it reads from the key-value service; the
+/// others follow it and report stalled groups to it. No datagram has to arrive: a daemon without a source reads the service itself.
 class peer_feed
 {
 public:
-    /// \a heldHere tells how many requests of each model this daemon holds. All are called on the feed's thread.
+    /// \a localDemand returns the number of requests for each model that this daemon holds. \a didReceiveStallReport is called with the
+    /// stall reports of other daemons while this one is the source, \a didReceiveStallWarning with the coordinator's warnings. All are
+    /// called on the feed's thread, the last one also by sendStallWarning().
     peer_feed(const entry_settings &settings,
               store_follower &store,
               shared_suspects &suspects,
               shared_constraints &constraints,
               metrics &counters,
-              std::function<std::vector<model_demand>()> heldHere,
-              std::function<void(const stall_report &)> didHearStall,
-              std::function<void(const group_stall_warning &)> didHearDoubt);
+              std::function<std::vector<model_demand>()> localDemand,
+              std::function<void(const stall_report &)> didReceiveStallReport,
+              std::function<void(const group_stall_warning &)> didReceiveStallWarning);
     ~peer_feed();
     peer_feed(const peer_feed &) = delete;
     peer_feed &operator=(const peer_feed &) = delete;
 
+    /// Binds the socket and starts the feed's thread. Throws if the address cannot be bound.
     void start();
-    /// A relay tells its followers to ask somebody else, and goes on following.
-    void endPassingOn();
-    /// A source tells its followers that it ends.
+    /// Stops relaying: tells this daemon's followers to choose another source, and continues to follow.
+    void endRelaying();
+    /// Stops the feed's thread.
     void stop();
 
-    /// Whether this daemon is the source.
+    /// Makes this daemon the source, or a follower again, whose own followers are told that it is no source any more.
     void setSource(bool isSource);
     bool isSource() const;
-    /// Follows the coordinator at this address, or the relay that it names.
+    /// Follows the coordinator at the address \a source, or the relay that it refers to.
     void follow(const endpoint &source);
-    /// The first request has come: from now on the replicas' changes are wanted.
-    void noteTraffic();
-    /// Whether a first request has come, here or at a daemon that follows this one.
+    /// Records that a first request has arrived: from now on this daemon subscribes to the replicas' changes.
+    void recordTraffic();
+    /// Whether a first request has arrived, here or at a daemon that follows this one.
     bool hasTraffic() const;
-    /// Sends a notice to the source; false where none is known.
-    bool tellStall(const stall_report &notice);
-    /// Sends the neighbours what they lack of the tables that all daemons keep.
-    void spreadTables();
-    /// Asks the source for a permit, wherever it is; false where none is known.
-    bool askForPermit(const permit_question &question);
-    /// As the source: tells all followers that a group is likely to stand still.
-    void tellDoubt(const instance_id &head);
+    /// Sends a report of a stalled group to the source. Returns false if no source is known.
+    bool sendStallReport(const stall_report &report);
+    /// Sends the source and the followers the entries that they lack of the tables which all daemons keep.
+    void syncTables();
+    /// Requests a permit from the source; the answer arrives on the feed's thread, or at once if this daemon is the source. Returns false
+    /// if no source is known.
+    bool requestPermit(const permit_question &question);
+    /// As the source: warns all followers, and this daemon, that the group of \a head is likely to be stalled.
+    void sendStallWarning(const instance_id &head);
 
-    /// Whether the source answered lately.
+    /// Whether the source answered recently.
     bool isSourceActive() const;
-    /// How many daemons there are, by the source's count; nothing where no source was heard yet.
+    /// Returns the number of daemons by the source's count; nothing before the first answer of a source.
     std::optional<int> daemons() const;
 
 private:
--- a/Libraries/Entry/pending_losses.cpp
+++ b/Libraries/Entry/pending_losses.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-/// A process that ends slowly keeps its port for a while, and accepts connections that nobody answers.
-constexpr duration askPeriod(200);
-/// A replica is back some seconds after its end, with another start to tell of.
-constexpr duration askTime(6000);
-/// A daemon holds some hundred requests, of which those at one replica are lost together.
-constexpr std::size_t mostPending = 256;
+/// Checks are repeated, since a process that ends slowly keeps its port open for a while and accepts connections that it does not answer.
+constexpr duration checkPeriod(200);
+/// A replica restarts within some seconds after its end, and then reports another incarnation.
+constexpr duration checkTimeout(6000);
+/// A daemon holds some hundred requests, and those at one replica are lost together.
+constexpr std::size_t maximumPending = 256;
 
 } // namespace
 
@@ -36,9 +36,9 @@
     std::deque<entry> entries;
     std::thread thread;
 
-    private_data(replica_end_check &endCheck, std::function<void(const pending_loss &)> tellEnd)
+    private_data(replica_end_check &endCheck, std::function<void(const pending_loss &)> endListener)
         : check(endCheck)
-        , didEnd(std::move(tellEnd))
+        , didEnd(std::move(endListener))
     {
     }
 
@@ -47,28 +47,29 @@
         std::unique_lock lock(mutex);
         while (!isStopping) {
             wake.wait(lock, [this] { return isStopping || !entries.empty(); });
-            wake.wait_for(lock, askPeriod, [this] { return isStopping; });
+            wake.wait_for(lock, checkPeriod, [this] { return isStopping; });
             if (isStopping) {
                 return;
             }
-            auto asked = std::exchange(entries, {});
+            auto unresolved = std::exchange(entries, {});
             lock.unlock();
-            askFor(asked);
+            checkAll(unresolved);
             lock.lock();
-            entries.insert(entries.begin(), asked.begin(), asked.end());
+            entries.insert(entries.begin(), unresolved.begin(), unresolved.end());
         }
     }
 
-    /// Leaves those of which nothing is known yet. All that were lost with one replica share one question.
-    void askFor(std::deque<entry> &asked)
+    /// Checks the replica of each entry, and removes the entries that are resolved or have timed out. Entries with the same replica share
+    /// one call.
+    void checkAll(std::deque<entry> &unresolved)
     {
         const auto now = monotonicNow();
-        std::erase_if(asked, [&](const entry &next) {
+        std::erase_if(unresolved, [&](const entry &next) {
             const auto found = check.ask(next.loss.target);
             if (found == replica_end_finding::has_ended) {
                 didEnd(next.loss);
             }
-            return found != replica_end_finding::unknown || now - next.since >= askTime;
+            return found != replica_end_finding::unknown || now - next.since >= checkTimeout;
         });
     }
 };
@@ -104,8 +105,8 @@
 {
     {
         const std::lock_guard lock(d->mutex);
-        if (d->entries.size() >= mostPending) {
-            // The oldest has been asked for longest.
+        if (d->entries.size() >= maximumPending) {
+            // The oldest has been checked for longest.
             d->entries.pop_front();
         }
         d->entries.push_back({loss, monotonicNow()});
--- a/Libraries/Entry/pending_losses.h
+++ b/Libraries/Entry/pending_losses.h
@@ -9,7 +9,7 @@
 
 namespace vetchpost {
 
-/// A request that was lost at a replica of which it is not known yet whether it has ended.
+/// A request whose connection to a replica was lost while it is unknown whether the replica has ended.
 struct pending_loss
 {
     request_identity request;
@@ -17,11 +17,11 @@
     backend target;
 };
 
-/// Asks again, on a thread of its own, until it is known what became of the replicas, or too much time has passed.
+/// Checks the replicas of lost requests on its own thread, until each is known to have ended or to be alive, or a timeout expires.
 class pending_losses
 {
 public:
-    /// \a didEnd is called on the thread for each request whose replica has ended.
+    /// \a didEnd is called on that thread for each request whose replica has ended.
     pending_losses(replica_end_check &check, std::function<void(const pending_loss &)> didEnd);
     ~pending_losses();
     pending_losses(const pending_losses &) = delete;
@@ -29,6 +29,7 @@
 
     void start();
     void stop();
+    /// Adds a lost request; drops the oldest one if too many are pending.
     void add(const pending_loss &loss);
 
 private:
--- a/Libraries/Entry/relay_context.cpp
+++ b/Libraries/Entry/relay_context.cpp
@@ -101,15 +101,15 @@
 
 void relay_context::noteNotice(const backend &place, const replica_notice &notice, const request_id &request)
 {
-    if (constraints.noteAnswer({place.replica, place.life}, notice, request)) {
-        m_feed.spreadTables();
+    if (constraints.applyNotice({place.replica, place.life}, notice, request)) {
+        m_feed.syncTables();
     }
 }
 
 bool relay_context::wantPermit(const std::vector<backend> &candidates, const std::vector<instance_id> &tried, std::uint64_t draw)
 {
-    const auto question = constraints.wantPermit(candidates, tried, draw);
-    return !question || m_feed.askForPermit(*question);
+    const auto question = constraints.nextPermitRequest(candidates, tried, draw);
+    return !question || m_feed.requestPermit(*question);
 }
 
 void relay_context::doubt(const instance_id &head) const
@@ -122,7 +122,7 @@
     for (const auto &[model, backends] : view->groups) {
         for (const auto &backend : backends) {
             if (backend.replica == head) {
-                backend.load->doubtedAt = now.time_since_epoch().count();
+                backend.load->stallWarnedAt = now.time_since_epoch().count();
                 avoid(*backend.load, now);
             }
         }
--- a/Libraries/Entry/replica_entries.cpp
+++ b/Libraries/Entry/replica_entries.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Notes a revision; false where a newer one is known.
-bool isNewer(replica_entries &entries, const instance_id &replica, std::uint64_t revision)
+/// Records a replica's revision. Returns false and records nothing if a newer one is known.
+bool updateRevision(replica_entries &entries, const instance_id &replica, std::uint64_t revision)
 {
     auto &known = entries.revisions[replica];
     if (revision < known) {
@@ -19,8 +19,8 @@
     return true;
 }
 
-/// A coordinator that takes over has to know how long a member has been leaving: it stays for ten seconds at most.
-void noteLeaving(replica_directory &directory, const served_replica &replica, instant now)
+/// Updates since when a replica is leaving. A new coordinator needs this time, since a leaving member stays for ten seconds at most.
+void updateLeavingSince(replica_directory &directory, const served_replica &replica, instant now)
 {
     if (!replica.isDraining) {
         directory.leavingSince.erase(replica.id);
@@ -34,9 +34,9 @@
     directory.leavingSince.try_emplace(replica.id, isFirstSeen ? instant() : now);
 }
 
-// A replica that gives up its place no longer says what it ran, but takes a place in a group of the same model within 0.2 s for the rest of
-// its life. If heads that were told to leave counted as without any model, domains whose members could serve at once would load
-// one of them anew.
+/// Keeps the model of a replica that has left its group, as its entry no longer states it: for the rest of its incarnation it can join a
+/// group of the same model within 0.2 s. If heads that were ordered to leave counted as without a model, a model would be loaded again in
+/// domains whose members could serve at once.
 served_replica withModelKept(served_replica replica, const served_replica &before)
 {
     if (!replica.model && !isAnotherLife(replica.life, before.life)) {
@@ -45,7 +45,7 @@
     return replica;
 }
 
-/// Takes a replica out, or keeps a member of a group as one that drains.
+/// Removes a replica without an entry, or keeps it as draining if it is a member of a group.
 void unlist(replica_entries &entries, const instance_id &replica, instant now)
 {
     entries.lapsed.erase(replica);
@@ -60,24 +60,24 @@
     }
     entries.directory.leavingSince.try_emplace(replica, now);
     if (!known->second.isUnlisted) {
-        // The same removal may be told twice, by the source and by the service.
+        // The same removal may be received twice, from the source and from the service.
         known->second.hasAnnounced = known->second.isDraining;
     }
     known->second.isDraining = true;
     known->second.isUnlisted = true;
-    entries.unlisted.try_emplace(replica, now + unlistedStay);
+    entries.unlisted.try_emplace(replica, now + unlistedGrace);
 }
 
 } // namespace
 
-void takeListing(replica_entries &entries, const std::vector<replica_change> &replicas, std::uint64_t upTo, duration outage, instant now)
+void applyListing(replica_entries &entries, const std::vector<replica_change> &replicas, std::uint64_t upTo, duration outage, instant now)
 {
     std::set<instance_id> present;
     for (const auto &change : replicas) {
-        // An entry without a value is listed, but tells of no replica.
+        // An entry without a value is listed, but describes no replica.
         if (change.replica) {
             present.insert(change.id);
-            takeChange(entries, change, now);
+            applyChange(entries, change, now);
         }
     }
     std::vector<instance_id> missing;
@@ -96,23 +96,23 @@
     }
 }
 
-void takeChange(replica_entries &entries, const replica_change &change, instant now)
+void applyChange(replica_entries &entries, const replica_change &change, instant now)
 {
-    if (!isNewer(entries, change.id, change.revision)) {
+    if (!updateRevision(entries, change.id, change.revision)) {
         return;
     }
     if (!change.replica) {
         unlist(entries, change.id, now);
         return;
     }
-    noteLeaving(entries.directory, *change.replica, now);
+    updateLeavingSince(entries.directory, *change.replica, now);
     auto &known = entries.directory.replicas[change.id];
     known = withModelKept(*change.replica, known);
     entries.lapsed.erase(change.id);
     entries.unlisted.erase(change.id);
 }
 
-bool dropLapsed(replica_entries &entries, instant now)
+bool removeLapsed(replica_entries &entries, instant now)
 {
     bool hasChanged = false;
     for (auto lapsed = entries.lapsed.begin(); lapsed != entries.lapsed.end();) {
@@ -138,7 +138,7 @@
     return hasChanged;
 }
 
-void noteLeaving(leaving_replicas &leaving, const std::set<replica_key> &replicas, instant now)
+void updateLeaving(leaving_replicas &leaving, const std::set<replica_key> &replicas, instant now)
 {
     std::erase_if(leaving, [&](const auto &entry) { return !replicas.contains(entry.first); });
     for (const auto &replica : replicas) {
@@ -146,16 +146,16 @@
     }
 }
 
-bool areShown(const replica_directory &directory, const leaving_replicas &leaving)
+bool areMarkedLeaving(const replica_directory &directory, const leaving_replicas &leaving)
 {
     return std::all_of(leaving.begin(), leaving.end(), [&](const auto &entry) {
         const auto found = directory.replicas.find(entry.first.replica);
-        const bool isMeant = found != directory.replicas.end() && !isAnotherLife(found->second.life, entry.first.life);
-        return !isMeant || saysItLeaves(found->second) || found->second.hasAnnounced;
+        const bool isSameIncarnation = found != directory.replicas.end() && !isAnotherLife(found->second.life, entry.first.life);
+        return !isSameIncarnation || saysItLeaves(found->second) || found->second.hasAnnounced;
     });
 }
 
-void showLeaving(replica_directory &directory, const leaving_replicas &leaving)
+void markLeaving(replica_directory &directory, const leaving_replicas &leaving)
 {
     for (const auto &[key, since] : leaving) {
         const auto found = directory.replicas.find(key.replica);
@@ -164,7 +164,7 @@
         }
         auto &replica = found->second;
         replica.isDraining = true;
-        // Its entry may have gone before it said anything.
+        // Its entry may have been removed before it announced that it leaves.
         replica.hasAnnounced = replica.hasAnnounced || replica.isUnlisted;
         const auto [known, isNew] = directory.leavingSince.try_emplace(key.replica, since);
         known->second = std::min(known->second, since);
--- a/Libraries/Entry/replica_entries.h
+++ b/Libraries/Entry/replica_entries.h
@@ -13,42 +13,42 @@
 
 namespace vetchpost {
 
-/// The replicas' entries over time. Decides how long an entry that vanished is still believed.
+/// The replicas' entries in the key-value service as they change. An entry that vanished without proof that its replica ended is kept for a
+/// while.
 struct replica_entries
 {
     replica_directory directory;
-    /// Replicas that were not there when the service came back, with when they are given up.
+    /// Replicas whose entries were missing after an outage of the service, with the time at which they are removed.
     std::map<instance_id, instant> lapsed;
-    /// Members of groups without an entry, with when they are given up.
+    /// Group members without an entry, with the time at which they are removed.
     std::map<instance_id, instant> unlisted;
-    /// The service's revision of each replica's last change, removals too: an older word never replaces a newer one.
+    /// The service's revision of each replica's last change or removal, so that an older change never replaces a newer one.
     std::map<instance_id, std::uint64_t> revisions;
 };
 
-/// After an absence of the key-value service of at least this time, entries may have lapsed though their replicas live ...
+/// After an outage of the key-value service of at least this duration, entries of live replicas may have expired.
 constexpr duration lapsingOutage(1000);
-/// ... and are back within this time of its return (the platform promises two seconds).
+/// Live replicas write their entries again within this time after an outage (the platform promises two seconds).
 constexpr duration lapsedGrace(2200);
 
-/// Takes in a whole listing of \a replicas as of the service's revision \a upTo; what is known to be newer stays. \a outage is how long the
-/// service had not answered before.
-void takeListing(replica_entries &entries, const std::vector<replica_change> &replicas, std::uint64_t upTo, duration outage, instant now);
-/// Takes in one change: an entry as it was written, or its removal. A member of a group whose entry is gone is kept for a while as one that
-/// drains.
-void takeChange(replica_entries &entries, const replica_change &change, instant now);
-/// A member of a group whose entry is gone is kept as draining for so long: it stays for ten seconds while its head has work.
-constexpr duration unlistedStay(12000);
-/// Gives up lapsed and unlisted replicas whose time is over; whether there were any.
-bool dropLapsed(replica_entries &entries, instant now);
-
-/// Replicas that said in answers that they leave, with when this was learned.
+/// Applies a complete listing of \a replicas as of the service's revision \a upTo; known changes that are newer stay. \a outage is the
+/// duration of a recent outage of the service: if it was long enough, missing replicas are kept for lapsedGrace.
+void applyListing(replica_entries &entries, const std::vector<replica_change> &replicas, std::uint64_t upTo, duration outage, instant now);
+/// Applies one change: a written entry or its removal. A group member whose entry was removed is kept as draining for unlistedGrace.
+void applyChange(replica_entries &entries, const replica_change &change, instant now);
+/// How long a group member without an entry is kept as draining. A leaving member stays for up to ten seconds while its head has work.
+constexpr duration unlistedGrace(12000);
+/// Removes lapsed and unlisted replicas whose time is over. Returns whether there were any.
+bool removeLapsed(replica_entries &entries, instant now);
+
+/// Replicas that announced that they leave, with the time at which this daemon learned of it.
 using leaving_replicas = std::map<replica_key, instant>;
 
-/// Keeps those that are among \a replicas, and notes the new ones.
-void noteLeaving(leaving_replicas &leaving, const std::set<replica_key> &replicas, instant now);
-/// Shows them as draining in a directory, each in the life that said so.
-void showLeaving(replica_directory &directory, const leaving_replicas &leaving);
-/// Whether a directory shows them already, so that it need not be made anew.
-bool areShown(const replica_directory &directory, const leaving_replicas &leaving);
+/// Removes all entries that are not among \a replicas, and adds the new ones with the time \a now.
+void updateLeaving(leaving_replicas &leaving, const std::set<replica_key> &replicas, instant now);
+/// Marks the replicas in \a leaving as draining in a directory, each only in the incarnation that announced it.
+void markLeaving(replica_directory &directory, const leaving_replicas &leaving);
+/// Whether a directory already marks all replicas in \a leaving as draining, so that it need not be rebuilt.
+bool areMarkedLeaving(const replica_directory &directory, const leaving_replicas &leaving);
 
 } // namespace vetchpost
--- /dev/null
+++ b/Libraries/Entry/replica_prober.cpp
@@ -0,0 +1,262 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "Libraries/Entry/replica_prober.h"
+
+#include "Libraries/Assembly/own_trouble.h"
+#include "Libraries/Base/event_log.h"
+#include "Libraries/Base/worker_pool.h"
+#include "Libraries/Http/http_client.h"
+
+#include <mutex>
+
+namespace vetchpost {
+
+namespace {
+
+constexpr event_log assemblyLog("assembly");
+/// A probe takes a fifth of a second at most, so that two groups of the largest size are probed within one second.
+constexpr int probeThreads = 8;
+
+enum class probe_result {
+    answers,
+    /// Another process has the replica's address, so that the replica has ended.
+    is_replaced,
+    is_silent
+};
+
+const char *nameOf(probe_result result)
+{
+    switch (result) {
+    case probe_result::answers:
+        return "answers";
+    case probe_result::is_replaced:
+        return "another replica has its address";
+    case probe_result::is_silent:
+        break;
+    }
+    return "silent";
+}
+
+} // namespace
+
+struct replica_prober::private_data
+{
+    key_value_service &keyValue;
+    const entry_dialect &dialect;
+    store_follower &store;
+    peer_feed &feed;
+    assembly_metrics &groupMetrics;
+    std::function<void()> didChange;
+    answer_listener didAnswer;
+    mutable std::mutex mutex;
+    silent_replicas silent;
+    own_trouble trouble;
+    /// Number of self-checks so far; varies the choice of reference replicas.
+    std::uint64_t checks = 0;
+    counter voidProbes;
+    /// Allows one self-check of this daemon at a time, whose result counts for all probes that wait for it. Locked before the other mutex.
+    std::mutex checkMutex;
+    worker_pool workers{probeThreads};
+
+    private_data(key_value_service &service,
+                 const entry_dialect &entryDialect,
+                 store_follower &follower,
+                 peer_feed &peers,
+                 assembly_metrics &assemblyMetrics,
+                 metrics &counters,
+                 std::function<void()> changeListener,
+                 answer_listener answerListener)
+        : keyValue(service)
+        , dialect(entryDialect)
+        , store(follower)
+        , feed(peers)
+        , groupMetrics(assemblyMetrics)
+        , didChange(std::move(changeListener))
+        , didAnswer(std::move(answerListener))
+        , voidProbes(counters.addCounter("vetchpost_looks_void_total",
+                                         "Probes of silent replicas that are ignored, since other replicas did not answer either."))
+    {
+    }
+
+    void probeAll(const std::vector<served_replica> &replicas)
+    {
+        for (const auto &replica : replicas) {
+            workers.run([this, replica] { probe(replica); });
+        }
+    }
+
+    /// Probes the replica once.
+    probe_result callReplica(const served_replica &replica, duration timeout, reason &why) const
+    {
+        auto call = dialect.livenessCall(replica.id, replica.address);
+        call.connectTimeout = timeout;
+        call.receiveTimeout = timeout;
+        const auto reply = sendOnFreshConnection(call, why);
+        if (!reply) {
+            return probe_result::is_silent;
+        }
+        if (!dialect.isLivenessAnswer(*reply)) {
+            return probe_result::is_replaced;
+        }
+        didAnswer(replica.id, *reply);
+        return probe_result::answers;
+    }
+
+    /// Whether replicas elsewhere answered this daemon after \a began, when the probe of a silent one started. Probes them if this is
+    /// unknown.
+    bool isSoundSince(instant began, const served_replica &silentReplica)
+    {
+        const std::lock_guard check(checkMutex);
+        std::vector<served_replica> references;
+        {
+            const std::lock_guard lock(mutex);
+            if (wasSoundSince(trouble, began)) {
+                return true;
+            }
+            std::set<instance_id> suspected;
+            for (const auto &[id, entry] : silent.suspected) {
+                suspected.insert(id);
+            }
+            references = referencesFor(*store.directory(), silentReplica, suspected, ++checks);
+        }
+        const auto checkBegan = monotonicNow();
+        const auto needed = answersNeeded(references.size());
+        std::size_t answered = 0;
+        for (const auto &reference : references) {
+            reason ignored;
+            // An answer of another process at the address proves as well that this daemon's link works.
+            answered += answered < needed && callReplica(reference, referenceTimeout, ignored) != probe_result::is_silent ? 1 : 0;
+        }
+        finishSelfCheck(checkBegan, answered, needed);
+        return answered >= needed;
+    }
+
+    /// Records the result of a self-check, and logs when trouble begins or is over.
+    void finishSelfCheck(instant began, std::size_t answered, std::size_t needed)
+    {
+        const std::lock_guard lock(mutex);
+        const bool wasInTrouble = isInTrouble(trouble);
+        noteCheck(trouble, began, answered >= needed);
+        if (isInTrouble(trouble) != wasInTrouble) {
+            assemblyLog.write(wasInTrouble ? "own_trouble_over" : "own_trouble", {{"answered", answered}, {"needed", needed}});
+        }
+    }
+
+    /// Probes a replica and records the result. A missing answer is ignored unless other replicas answer this daemon.
+    void probe(const served_replica &replica)
+    {
+        reason why;
+        const auto began = monotonicNow();
+        const auto result = callReplica(replica, lookTimeout, why);
+        const bool hasAnswered = result == probe_result::answers;
+        const bool isConclusive = result != probe_result::is_silent || isSoundSince(began, replica);
+        assemblyLog.write("looked",
+                          {{"replica", replica.id.value()},
+                           {"answers", hasAnswered},
+                           {"counts", isConclusive},
+                           {"found", nameOf(result)},
+                           {"why", why.text}});
+        if (!isConclusive) {
+            voidProbes.increment();
+            return;
+        }
+        bool isNew = false;
+        {
+            const std::lock_guard lock(mutex);
+            isNew = noteLook(silent, replica.id, {began, hasAnswered, replica.life});
+        }
+        if (!hasAnswered) {
+            didChange();
+        }
+        if (!isNew) {
+            return;
+        }
+        if (const auto head = headOfGroup(*store.directory(), replica)) {
+            groupMetrics.recordSilentMember(*head, monotonicNow());
+            feed.sendStallWarning(*head);
+        }
+        readEntryOfSilent(replica.id);
+    }
+
+    /// Reads a silent replica's entry to learn whether it leaves: the directory may lag behind, and the service's watches may miss changes
+    /// for a while.
+    void readEntryOfSilent(const instance_id &id)
+    {
+        reason why;
+        const auto entry = keyValue.get(dialect.replicaPrefix() + id.value(), read_freshness::current, why);
+        const bool isListed = entry && entry->changed != key_revision();
+        const auto replica = isListed ? dialect.readReplica(id, entry->value, why) : std::nullopt;
+        const bool isStaying = replica && !replica->isDraining;
+        assemblyLog.write("silent_checked", {{"replica", id.value()}, {"leaves", !isStaying}, {"listed", isListed}, {"why", why.text}});
+        if (!isStaying) {
+            return;
+        }
+        {
+            const std::lock_guard lock(mutex);
+            silent.notLeaving.insert(id);
+        }
+        didChange();
+    }
+};
+
+replica_prober::replica_prober(key_value_service &keyValue,
+                               const entry_dialect &dialect,
+                               store_follower &store,
+                               peer_feed &feed,
+                               assembly_metrics &groupMetrics,
+                               metrics &counters,
+                               std::function<void()> didChange,
+                               answer_listener didAnswer)
+    : d(std::make_unique<private_data>(keyValue, dialect, store, feed, groupMetrics, counters, std::move(didChange), std::move(didAnswer)))
+{
+}
+
+replica_prober::~replica_prober()
+{
+    stop();
+}
+
+void replica_prober::stop()
+{
+    d->workers.stop();
+}
+
+void replica_prober::reset()
+{
+    const std::lock_guard lock(d->mutex);
+    d->silent = {};
+    d->trouble = {};
+}
+
+bool replica_prober::mustHandOver(instant now) const
+{
+    const std::lock_guard lock(d->mutex);
+    return vetchpost::mustHandOver(d->trouble, now);
+}
+
+silence_report replica_prober::report(const replica_directory &directory, instant now)
+{
+    std::vector<served_replica> targets;
+    silence_report report;
+    {
+        const std::lock_guard lock(d->mutex);
+        report = reportSilence(d->silent, directory, now);
+        targets = unlistedToLookAt(d->silent, directory, now);
+    }
+    d->probeAll(targets);
+    return report;
+}
+
+void replica_prober::probeGroup(const instance_id &head)
+{
+    const auto directory = d->store.directory();
+    const auto now = monotonicNow();
+    d->groupMetrics.recordStallReport(head, now);
+    std::vector<served_replica> targets;
+    {
+        const std::lock_guard lock(d->mutex);
+        targets = membersToLookAt(d->silent, *directory, head, now);
+    }
+    d->probeAll(targets);
+}
+
+} // namespace vetchpost
--- a/Libraries/Entry/replica_reading.cpp
+++ b/Libraries/Entry/replica_reading.cpp
@@ -1,25 +1,27 @@
 // SPDX-License-Identifier: Apache-2.0
-// How a store_follower keeps the replicas' entries: listed and watched in the service, or told by the source.
+// The part of store_follower that keeps the replicas' entries up to date: it lists and watches them in the service, or the source sends
+// changes.
 #include "Libraries/Entry/store_follower_data.h"
 
 namespace vetchpost {
 
 namespace {
 
-/// How long a watch waits: a silent service is noticed after this time at most.
+/// How long a watch waits for changes, and thus the time after which a silent service is noticed at the latest.
 constexpr duration watchWait(3000);
-/// Between the answers of two watches of a daemon that is not told, so that changes which come together cost one call. The source goes
-/// nearly without: each order waits for what the order before it changed.
+/// Pause between two watches of a daemon without a source, so that changes which occur together cost one call. The source pauses much
+/// shorter, since each order waits for the changes that the previous one caused.
 constexpr duration watchPause(500);
 constexpr duration sourceWatchPause(40);
-/// Before the first request nothing is routed yet, but whole groups come: a listing that may be a little old tells in a few cheap reads
-/// what many watches would.
+/// How often the entries are listed before the first request. Nothing is routed yet, but whole groups start up, and a few cheap, possibly
+/// slightly stale listings replace many watches.
 constexpr duration idleListingPeriod(3000);
-/// From so many changes on an answer is followed by the next watch at once: a service tells only some of them at a time (500 on the
-/// platform). With a pause after each, daemons before many replicas would know no place when the first request comes.
+/// A watch that returned at least this many changes is followed by the next one at once, since a service returns a limited number of
+/// changes at a time (500 on the platform). With a pause after each watch, daemons in a system with many replicas would know no backend
+/// when the first request arrives.
 constexpr std::size_t manyChanges = 200;
-/// How often a daemon that is told looks whether it still is, and gives up lapsed entries.
-constexpr duration toldPeriod(400);
+/// How often a daemon with a source checks that the source is still current, and removes lapsed entries.
+constexpr duration sourceCheckPeriod(400);
 
 } // namespace
 
@@ -28,18 +30,18 @@
     bool isFirst = true;
     auto next = duration();
     while (pause(next)) {
-        const bool isFed = isTold() && hasTraffic;
+        const bool isFed = isSourceCurrent() && hasTraffic;
         const bool isIdle = !hasTraffic && !isSource;
         if (isIdle || needsListing(isFed)) {
-            // The first listing may be old: the changes since then are asked for. Later ones follow on lost history.
+            // The first listing may be stale, as watches return the changes since then. Later ones follow lost history and must be current.
             const bool isListed = list(isFirst || isIdle ? read_freshness::may_be_stale : read_freshness::current);
             isFirst = isFirst && !isListed;
             next = !isListed ? retryPause : isIdle ? idleListingPeriod : duration();
         } else if (isFed) {
-            giveUpLapsed();
-            next = toldPeriod;
+            removeLapsedEntries();
+            next = sourceCheckPeriod;
         } else {
-            next = watch() ? changePause() : retryPause;
+            next = watch() ? pauseBetweenWatches() : retryPause;
         }
     }
 }
@@ -56,7 +58,7 @@
     return replicasUpTo;
 }
 
-duration store_follower::private_data::changePause() const
+duration store_follower::private_data::pauseBetweenWatches() const
 {
     if (isBehind) {
         return {};
@@ -72,22 +74,22 @@
     const auto asked = monotonicNow();
     reason why;
     const auto listing = keyValue.list(dialect.replicaPrefix(), freshness, why);
-    noteAnswer(listing.has_value(), why);
+    recordServiceAnswer(listing.has_value(), why);
     if (!listing) {
-        // A coordinator that has just begun plans nothing before it has the listing that it asked for.
+        // The listing must be repeated: a coordinator plans nothing before it has a listing that began in its term.
         const std::lock_guard lock(mutex);
         mustListSince = asked;
         return false;
     }
-    const auto outage = replicasOutage();
+    const auto outage = recentOutage();
     const auto replicas = decodeAll(listing->entries);
-    tellLeaving(replicas);
+    reportLeaving(replicas);
     {
         const std::lock_guard lock(mutex);
-        takeListing(entries, replicas, listing->upTo, outage, monotonicNow());
+        applyListing(entries, replicas, listing->upTo, outage, monotonicNow());
         applyListing(feed, replicas, listing->upTo, outage < lapsingOutage);
         replicasUpTo = std::max(replicasUpTo, listing->upTo);
-        // Another listing may be under way on another thread: the answer to the older one may come last.
+        // Another thread may be listing too, and the answer to the older call may arrive last.
         replicasCurrentAt = std::max(replicasCurrentAt.value_or(asked), asked);
         if (mustListSince && *mustListSince <= asked) {
             mustListSince.reset();
@@ -95,8 +97,8 @@
         lastListing = std::max(lastListing.value_or(asked), asked);
         firstListing = firstListing.value_or(asked);
         storeLog.write("replicas_listed", {{"count", replicas.size()}, {"lapsed", entries.lapsed.size()}, {"revision", listing->upTo}});
-        // At once: whoever learns that there is a listing must find what it brought.
-        showEntries();
+        // Before the mutex is released, so that whoever sees the new listing time also finds the listed entries.
+        rebuildDirectory();
     }
     didChange();
     return true;
@@ -114,7 +116,7 @@
     reason why;
     const auto wait = hasLapsed ? lapsedGrace / 2 : watchWait;
     const auto result = keyValue.watch(dialect.replicaPrefix(), after, wait, why);
-    noteAnswer(result.has_value(), why);
+    recordServiceAnswer(result.has_value(), why);
     if (!result || result->isHistoryLost) {
         const std::lock_guard lock(mutex);
         mustListSince = monotonicNow();
@@ -122,14 +124,14 @@
     }
     isBehind = result->changes.size() >= manyChanges;
     const auto changes = decodeAll(result->changes);
-    tellLeaving(changes);
-    bool hasChanged = takeChanges(changes);
+    reportLeaving(changes);
+    bool hasChanged = applyReplicaChanges(changes);
     {
         const std::lock_guard lock(mutex);
         replicasCurrentAt = monotonicNow();
         applyChanges(feed, changes, result->upTo);
         replicasUpTo = std::max(replicasUpTo, result->upTo);
-        hasChanged = dropLapsed(entries, monotonicNow()) || hasChanged;
+        hasChanged = removeLapsed(entries, monotonicNow()) || hasChanged;
     }
     if (hasChanged) {
         publish();
@@ -143,13 +145,13 @@
     for (const auto &entry : values) {
         auto replica = entry.value.empty() ? std::nullopt : decode(entry);
         if (replica || entry.value.empty()) {
-            changes.push_back({idOf(entry), entry.changed.value(), std::move(replica)});
+            changes.push_back({replicaIdOf(entry), entry.changed.value(), std::move(replica)});
         }
     }
     return changes;
 }
 
-void store_follower::private_data::tellLeaving(const std::vector<replica_change> &changes) const
+void store_follower::private_data::reportLeaving(const std::vector<replica_change> &changes) const
 {
     std::vector<replica_key> leaving;
     for (const auto &change : changes) {
@@ -162,11 +164,11 @@
     }
 }
 
-bool store_follower::private_data::takeChanges(const std::vector<replica_change> &changes)
+bool store_follower::private_data::applyReplicaChanges(const std::vector<replica_change> &changes)
 {
     const std::lock_guard lock(mutex);
     for (const auto &change : changes) {
-        takeChange(entries, change, monotonicNow());
+        applyChange(entries, change, monotonicNow());
         if (!change.replica) {
             storeLog.write("replica_removed", {{"replica", change.id.value()}, {"revision", change.revision}});
         }
@@ -174,24 +176,24 @@
     return !changes.empty();
 }
 
-void store_follower::private_data::giveUpLapsed()
+void store_follower::private_data::removeLapsedEntries()
 {
     bool hasChanged = false;
     {
         const std::lock_guard lock(mutex);
-        hasChanged = dropLapsed(entries, monotonicNow());
+        hasChanged = removeLapsed(entries, monotonicNow());
     }
     if (hasChanged) {
         publish();
     }
 }
 
-void store_follower::private_data::takeUpdate(const feed_update &update, std::optional<instant> asked)
+void store_follower::private_data::applyUpdate(const feed_update &update, std::optional<instant> asked)
 {
     if (asked && update.configurationAge) {
-        noteTold(update.configuration, *asked - *update.configurationAge);
+        recordSourceConfiguration(update.configuration, *asked - *update.configurationAge);
     }
-    const bool hasChanged = takeChanges(update.changes);
+    const bool hasChanged = applyReplicaChanges(update.changes);
     {
         const std::lock_guard lock(mutex);
         if (update.isHistoryLost) {
@@ -210,7 +212,7 @@
     }
 }
 
-instance_id store_follower::private_data::idOf(const key_value_entry &entry) const
+instance_id store_follower::private_data::replicaIdOf(const key_value_entry &entry) const
 {
     return instance_id(entry.key.substr(std::min(entry.key.size(), dialect.replicaPrefix().size())));
 }
@@ -218,9 +220,9 @@
 std::optional<served_replica> store_follower::private_data::decode(const key_value_entry &entry)
 {
     reason why;
-    auto replica = dialect.readReplica(idOf(entry), entry.value, why);
+    auto replica = dialect.readReplica(replicaIdOf(entry), entry.value, why);
     if (!replica) {
-        // The last good one stays.
+        // The last readable entry stays in the directory.
         undecodable.increment();
         storeLog.write("replica_unreadable", {{"key", entry.key}, {"why", why.text}});
     }
@@ -231,15 +233,15 @@
 {
     {
         const std::lock_guard lock(mutex);
-        showEntries();
+        rebuildDirectory();
     }
     didChange();
 }
 
-void store_follower::private_data::showEntries()
+void store_follower::private_data::rebuildDirectory()
 {
     auto directory = entries.directory;
-    showLeaving(directory, leaving);
+    markLeaving(directory, leaving);
     published = std::make_shared<const replica_directory>(std::move(directory));
 }
 
--- a/Libraries/Entry/request_answer.cpp
+++ b/Libraries/Entry/request_answer.cpp
@@ -251,7 +251,7 @@
 bool request_run::isDoubted(const backend &target) const
 {
     const auto since = std::max<std::int64_t>(m_tryStart.time_since_epoch().count(), target.load->lastProgress.load());
-    return target.load->doubtedAt.load() >= since;
+    return target.load->stallWarnedAt.load() >= since;
 }
 
 instant request_run::firstAnswerPatience() const
--- a/Libraries/Entry/request_finish.cpp
+++ b/Libraries/Entry/request_finish.cpp
@@ -77,9 +77,9 @@
 {
     const auto newest = m_context.currentView();
     const auto &candidates = newest->backends(*m_service, m_head.model);
-    m_closed = m_context.constraints.closedPlaces(candidates, {});
+    m_closed = m_context.constraints.blockedBackends(candidates, {});
     const bool isAnyOpen = m_closed.replicas.size() < candidates.size();
-    const auto opensAfter = m_closed.opensAt && !isAnyOpen ? std::optional(*m_closed.opensAt - monotonicNow()) : std::nullopt;
+    const auto opensAfter = m_closed.unblockedAt && !isAnyOpen ? std::optional(*m_closed.unblockedAt - monotonicNow()) : std::nullopt;
     refuse(kind, text, opensAfter ? comeBackOnceOpen(*opensAfter, drawNumber()) : comeBackAfter(reach, drawNumber()));
 }
 
--- a/Libraries/Entry/request_run.cpp
+++ b/Libraries/Entry/request_run.cpp
@@ -198,7 +198,7 @@
         // A place that went away while the request waited must not be taken: the newest view decides.
         const auto newest = m_context.currentView();
         const auto &candidates = newest->backends(*m_service, m_head.model);
-        m_closed = m_context.constraints.closedPlaces(candidates, m_tried);
+        m_closed = m_context.constraints.blockedBackends(candidates, m_tried);
         const bool isAsked = m_closed.limited > 0 && m_context.wantPermit(candidates, m_tried, drawNumber());
         const auto passedOver = joined(m_tried, m_closed.replicas);
         const bool isCalm = m_context.shedding.isCalm(m_service->id, m_head.model);
@@ -208,7 +208,7 @@
             return *best;
         }
         // Without an open place a permit that may come at once is waited for; the others are known to stay shut.
-        if (best == nullptr && (!isAsked || m_closed.opensAt.value_or(until) >= until || now >= until)) {
+        if (best == nullptr && (!isAsked || m_closed.unblockedAt.value_or(until) >= until || now >= until)) {
             return std::nullopt;
         }
         if (best == nullptr) {
@@ -222,8 +222,8 @@
 {
     const auto newest = m_context.currentView();
     const auto &candidates = newest->backends(*m_service, m_head.model);
-    const auto closed = m_context.constraints.closedPlaces(candidates, m_tried);
-    const bool opensSoon = closed.opensAt && *closed.opensAt < monotonicNow() + time;
+    const auto closed = m_context.constraints.blockedBackends(candidates, m_tried);
+    const bool opensSoon = closed.unblockedAt && *closed.unblockedAt < monotonicNow() + time;
     return opensSoon || hasUntried(candidates, joined(m_tried, closed.replicas));
 }
 
@@ -316,7 +316,7 @@
         return try_end::lost;
     }
     ++m_attempts;
-    m_context.constraints.noteSent(target);
+    m_context.constraints.recordSent(target);
     const auto end = awaitHead(upstream, target);
     // Whatever ended early is cancelled: the replica drops a request whose connection closes.
     upstream.close();
@@ -355,18 +355,18 @@
     if (!std::exchange(m_hasProgress, true)) {
         // An answer within a millisecond is one too: 0 stands for a place that was never tried.
         const auto time = std::max(1.0, static_cast<double>((now - m_tryStart).count()));
-        const auto known = target.load->answerTime.load();
-        target.load->answerTime = known > 0 ? known + newestWeight * (time - known) : time;
-        target.load->answerTimeAt = now.time_since_epoch().count();
+        const auto known = target.load->responseTime.load();
+        target.load->responseTime = known > 0 ? known + newestWeight * (time - known) : time;
+        target.load->responseTimeAt = now.time_since_epoch().count();
     }
 }
 
 void request_run::noteTrouble(const backend &target, try_end end) const
 {
     if (end == try_end::not_run) {
-        noteRejection(*target.load, monotonicNow());
+        recordRejection(*target.load, monotonicNow());
     } else if (m_hasProgress) {
-        noteAdmission(*target.load);
+        recordAdmission(*target.load);
     }
     const bool isTrouble = end == try_end::not_sent || end == try_end::lost || end == try_end::silent;
     if (!isTrouble) {
--- a/Libraries/Entry/request_run.h
+++ b/Libraries/Entry/request_run.h
@@ -98,7 +98,7 @@
     const served_service *m_service = nullptr;
     std::vector<instance_id> m_tried;
     /// Of the places that were left when the last one was chosen, or none was.
-    closed_places m_closed;
+    blocked_backends m_closed;
     int m_attempts = 0;
     int m_unreachable = 0;
     /// A repeat was taken out of the budget for the next try.
--- /dev/null
+++ b/Libraries/Entry/service_availability.cpp
@@ -0,0 +1,31 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "Libraries/Entry/service_availability.h"
+
+namespace vetchpost {
+
+bool recordCall(service_availability &availability, bool hasAnswered, instant now)
+{
+    if (hasAnswered && !availability.isReachable) {
+        availability.lastOutage = now - availability.lastAnswer;
+        availability.outageEnd = now;
+    }
+    if (hasAnswered) {
+        availability.lastAnswer = now;
+    }
+    const bool hasChanged = hasAnswered != availability.isReachable;
+    availability.isReachable = hasAnswered;
+    return hasChanged;
+}
+
+// Entries of live replicas can be missing only after an outage. A service that has lost its history was available all the time; if that
+// counted as an outage, all daemons would have to list the entries themselves.
+duration outageDuration(const service_availability &availability, duration remembered, instant now)
+{
+    if (!availability.isReachable) {
+        return now - availability.lastAnswer;
+    }
+    const bool isRemembered = availability.outageEnd && now - *availability.outageEnd < remembered;
+    return isRemembered ? availability.lastOutage : duration();
+}
+
+} // namespace vetchpost
--- a/Libraries/Entry/shared_constraints.cpp
+++ b/Libraries/Entry/shared_constraints.cpp
@@ -15,30 +15,30 @@
 namespace {
 
 constexpr event_log constraintLog("constraint");
-/// The requests sent to a constrained replica are told this often.
-constexpr duration sendingPeriod(1000);
-/// How often what is out of date is looked for.
-constexpr duration cleaningPeriod(10000);
+/// How often the number of requests sent to a constrained replica is logged.
+constexpr duration sendCountLogPeriod(1000);
+/// How often outdated entries are removed.
+constexpr duration cleanupPeriod(10000);
 
-replica_key keyOf(const backend &place)
+replica_key keyOf(const backend &target)
 {
-    return {place.replica, place.life};
+    return {target.replica, target.life};
 }
 
-bool isAmong(const std::vector<instance_id> &tried, const backend &place)
+bool wasTried(const std::vector<instance_id> &tried, const backend &target)
 {
-    return std::find(tried.begin(), tried.end(), place.replica) != tried.end();
+    return std::find(tried.begin(), tried.end(), target.replica) != tried.end();
 }
 
-void count(closed_places &closed, closure_cause cause)
+void count(blocked_backends &blocked, closure_cause cause)
 {
-    closed.resting += cause == closure_cause::rest ? 1 : 0;
-    closed.limited += cause == closure_cause::limit ? 1 : 0;
-    closed.leaving += cause == closure_cause::leaving ? 1 : 0;
+    blocked.inBackoff += cause == closure_cause::rest ? 1 : 0;
+    blocked.limited += cause == closure_cause::limit ? 1 : 0;
+    blocked.leaving += cause == closure_cause::leaving ? 1 : 0;
 }
 
-/// Requests that this daemon sent to one constrained replica.
-struct sending_count
+/// The number of requests that this daemon sent to a constrained replica since a time.
+struct send_count
 {
     int sent = 0;
     instant since;
@@ -46,9 +46,9 @@
 
 } // namespace
 
-std::string closed_places::text() const
+std::string blocked_backends::text() const
 {
-    return resting + limited + leaving == 0 ? std::string() : fmt::format("{} rest, {} limited, {} leave", resting, limited, leaving);
+    return inBackoff + limited + leaving == 0 ? std::string() : fmt::format("{} rest, {} limited, {} leave", inBackoff, limited, leaving);
 }
 
 struct shared_constraints::private_data
@@ -59,13 +59,13 @@
     table_sync<replica_constraints> spread;
     permit_issuer issuer;
     permit_wallet wallet;
-    std::map<replica_key, sending_count> sendings;
+    std::map<replica_key, send_count> sendCounts;
     instant cleanedAt;
-    /// Whether anything is known at all: without it most requests take no lock.
+    /// Whether any constraint is known. While there is none, requests need not lock the mutex.
     std::atomic<bool> hasAny = false;
     std::function<void()> didLearnLeaving;
-    /// Lists have told of departures that didLearnLeaving has not been called for.
-    std::atomic<bool> hasLeavingToTell = false;
+    /// Whether received batches contained departures for which didLearnLeaving has not been called yet.
+    std::atomic<bool> hasPendingDepartures = false;
     counter limits;
     counter rests;
     counter departures;
@@ -74,8 +74,8 @@
     counter used;
     counter denied;
 
-    private_data(metrics &counters, std::function<void()> tellLeaving)
-        : didLearnLeaving(std::move(tellLeaving))
+    private_data(metrics &counters, std::function<void()> leavingListener)
+        : didLearnLeaving(std::move(leavingListener))
         , limits(addNoticeCounter(counters, "limit"))
         , rests(addNoticeCounter(counters, "rest"))
         , departures(addNoticeCounter(counters, "leaving"))
@@ -88,17 +88,17 @@
 
     static counter addNoticeCounter(metrics &counters, const std::string &kind)
     {
-        return counters.addCounter(
-            "vetchpost_replica_notices_total", "Answers in which a replica said anew what it can take.", {{"kind", kind}});
+        return counters.addCounter("vetchpost_replica_notices_total", "Answers of replicas with new constraints.", {{"kind", kind}});
     }
 
     static counter addPermitCounter(metrics &counters, const std::string &what)
     {
-        return counters.addCounter(
-            "vetchpost_permits_total", "Permits for requests to replicas that have named a limit.", {{"what", what}});
+        return counters.addCounter("vetchpost_permits_total", "Permits for requests to replicas with a rate limit.", {{"what", what}});
     }
 
-    void tell(const replica_key &replica, const replica_notice &notice, const constraint_change &change, const request_id &request) const
+    /// Counts and logs a constraint that an answer changed. Requires the mutex to be held.
+    void
+    logNotice(const replica_key &replica, const replica_notice &notice, const constraint_change &change, const request_id &request) const
     {
         const auto &constraint = table.known.at(replica);
         limits.increment(change.hasLimit ? 1 : 0);
@@ -113,7 +113,7 @@
                                  {"request", request.value()}});
     }
 
-    static void tellReport(const constraint_report &report)
+    static void logReport(const constraint_report &report)
     {
         constraintLog.write("notice_heard",
                             {{"replica", report.replica.replica.value()},
@@ -123,11 +123,11 @@
                              {"leaving", report.isLeaving}});
     }
 
-    /// The mutex is held.
-    void countSending(const replica_key &replica, instant now)
+    /// Counts a sent request, and logs and restarts the count once a period. Requires the mutex to be held.
+    void countSentRequest(const replica_key &replica, instant now)
     {
-        auto &counted = sendings[replica];
-        if (now - counted.since >= sendingPeriod) {
+        auto &counted = sendCounts[replica];
+        if (now - counted.since >= sendCountLogPeriod) {
             if (counted.sent > 0) {
                 constraintLog.write("sent_to_constrained", {{"replica", replica.replica.value()}, {"requests", counted.sent}});
             }
@@ -136,17 +136,17 @@
         ++counted.sent;
     }
 
-    /// The mutex is held.
+    /// Removes outdated entries at most once a period. Requires the mutex to be held.
     void clean(instant now)
     {
-        if (now - cleanedAt < cleaningPeriod) {
+        if (now - cleanedAt < cleanupPeriod) {
             return;
         }
         cleanedAt = now;
         forgetOld(table, now);
         keepLimited(issuer, table);
         keepLimited(wallet, table);
-        std::erase_if(sendings, [&](const auto &entry) { return !table.known.contains(entry.first); });
+        std::erase_if(sendCounts, [&](const auto &entry) { return !table.known.contains(entry.first); });
         hasAny = !table.known.empty();
     }
 };
@@ -158,7 +158,7 @@
 
 shared_constraints::~shared_constraints() = default;
 
-bool shared_constraints::noteAnswer(const replica_key &replica, const replica_notice &notice, const request_id &request)
+bool shared_constraints::applyNotice(const replica_key &replica, const replica_notice &notice, const request_id &request)
 {
     if (notice.isEmpty() && !d->hasAny) {
         return false;
@@ -172,7 +172,7 @@
         }
         change = vetchpost::noteAnswer(d->table, replica, notice, monotonicNow());
         if (change.isAny()) {
-            d->tell(replica, notice, change, request);
+            d->logNotice(replica, notice, change, request);
         }
         d->hasAny = !d->table.known.empty();
     }
@@ -182,7 +182,7 @@
     return change.hasLimit || change.isLeaving;
 }
 
-bool shared_constraints::noteDepartures(const std::vector<replica_key> &replicas)
+bool shared_constraints::recordDepartures(const std::vector<replica_key> &replicas)
 {
     const std::lock_guard lock(d->mutex);
     const bool isNews = vetchpost::noteDepartures(d->table, replicas, monotonicNow());
@@ -190,46 +190,46 @@
     return isNews;
 }
 
-void shared_constraints::noteSent(const backend &place)
+void shared_constraints::recordSent(const backend &target)
 {
     if (!d->hasAny) {
         return;
     }
     const std::lock_guard lock(d->mutex);
-    const auto replica = keyOf(place);
+    const auto replica = keyOf(target);
     if (findConstraint(d->table, replica) != nullptr) {
-        d->countSending(replica, monotonicNow());
+        d->countSentRequest(replica, monotonicNow());
     }
 }
 
-closed_places shared_constraints::closedPlaces(const std::vector<backend> &candidates, const std::vector<instance_id> &tried) const
+blocked_backends shared_constraints::blockedBackends(const std::vector<backend> &candidates, const std::vector<instance_id> &tried) const
 {
-    closed_places closed;
+    blocked_backends blocked;
     if (!d->hasAny) {
-        return closed;
+        return blocked;
     }
     const std::lock_guard lock(d->mutex);
     const auto now = monotonicNow();
-    // One key for all: of thousands of places each would need memory for its own.
+    // One key is reused: a new one for each of thousands of backends would allocate memory.
     replica_key replica;
-    for (const auto &place : candidates) {
-        replica.replica = place.replica;
-        replica.life = place.life;
-        const auto closure = isAmong(tried, place) ? place_closure() : closureOf(d->table, d->wallet, replica, now);
+    for (const auto &target : candidates) {
+        replica.replica = target.replica;
+        replica.life = target.life;
+        const auto closure = wasTried(tried, target) ? place_closure() : closureOf(d->table, d->wallet, replica, now);
         if (closure.cause == closure_cause::none) {
             continue;
         }
-        closed.replicas.push_back(place.replica);
-        count(closed, closure.cause);
+        blocked.replicas.push_back(target.replica);
+        count(blocked, closure.cause);
         if (closure.until) {
-            closed.opensAt = std::min(closed.opensAt.value_or(*closure.until), *closure.until);
+            blocked.unblockedAt = std::min(blocked.unblockedAt.value_or(*closure.until), *closure.until);
         }
     }
-    return closed;
+    return blocked;
 }
 
 std::optional<permit_question>
-shared_constraints::wantPermit(const std::vector<backend> &candidates, const std::vector<instance_id> &tried, std::uint64_t draw)
+shared_constraints::nextPermitRequest(const std::vector<backend> &candidates, const std::vector<instance_id> &tried, std::uint64_t draw)
 {
     if (!d->hasAny) {
         return std::nullopt;
@@ -237,9 +237,9 @@
     const std::lock_guard lock(d->mutex);
     const auto now = monotonicNow();
     for (std::size_t i = 0; i < candidates.size(); ++i) {
-        const auto &place = candidates[(i + draw) % candidates.size()];
-        const auto replica = keyOf(place);
-        if (isAmong(tried, place) || closureOf(d->table, d->wallet, replica, now).cause != closure_cause::limit) {
+        const auto &target = candidates[(i + draw) % candidates.size()];
+        const auto replica = keyOf(target);
+        if (wasTried(tried, target) || closureOf(d->table, d->wallet, replica, now).cause != closure_cause::limit) {
             continue;
         }
         if (auto question = vetchpost::wantPermit(d->wallet, replica, now)) {
@@ -250,13 +250,13 @@
     return std::nullopt;
 }
 
-bool shared_constraints::takePermit(const backend &place)
+bool shared_constraints::takePermit(const backend &target)
 {
     if (!d->hasAny) {
         return true;
     }
     const std::lock_guard lock(d->mutex);
-    const auto replica = keyOf(place);
+    const auto replica = keyOf(target);
     const auto *known = findConstraint(d->table, replica);
     if (known == nullptr || !known->rateLimit) {
         return true;
@@ -275,7 +275,7 @@
     }
 }
 
-std::vector<feed_datagram> shared_constraints::due(const std::optional<endpoint> &source, const std::vector<endpoint> &followers)
+std::vector<feed_datagram> shared_constraints::dueBatches(const std::optional<endpoint> &source, const std::vector<endpoint> &followers)
 {
     const std::lock_guard lock(d->mutex);
     const auto now = monotonicNow();
@@ -283,7 +283,7 @@
     return collectDueBatches(d->spread, d->table, source, followers, now);
 }
 
-feed_datagram shared_constraints::take(const constraint_batch &list, const endpoint &from)
+feed_datagram shared_constraints::receiveBatch(const constraint_batch &list, const endpoint &from)
 {
     const std::lock_guard lock(d->mutex);
     const auto before = d->table.changes;
@@ -291,22 +291,22 @@
     for (const auto &report : list.reports) {
         const auto *known = findConstraint(d->table, report.replica);
         if (known != nullptr && known->changed > before) {
-            d->tellReport(report);
-            d->hasLeavingToTell = d->hasLeavingToTell || known->isLeaving;
+            d->logReport(report);
+            d->hasPendingDepartures = d->hasPendingDepartures || known->isLeaving;
         }
     }
     d->hasAny = !d->table.known.empty();
     return receipt;
 }
 
-void shared_constraints::tellLearned()
+void shared_constraints::notifyDepartures()
 {
-    if (d->hasLeavingToTell.exchange(false)) {
+    if (d->hasPendingDepartures.exchange(false)) {
         d->didLearnLeaving();
     }
 }
 
-void shared_constraints::take(const constraint_ack &receipt, const endpoint &from)
+void shared_constraints::receiveAck(const constraint_ack &receipt, const endpoint &from)
 {
     const std::lock_guard lock(d->mutex);
     applyAck(d->spread, receipt, from);
@@ -321,7 +321,7 @@
     return answer;
 }
 
-void shared_constraints::take(const permit_answer &answer)
+void shared_constraints::addPermits(const permit_answer &answer)
 {
     {
         const std::lock_guard lock(d->mutex);
@@ -332,7 +332,7 @@
     d->answered.notify_all();
 }
 
-void shared_constraints::beginIssuing()
+void shared_constraints::resetPermits()
 {
     const std::lock_guard lock(d->mutex);
     d->issuer = {};
@@ -350,13 +350,13 @@
     return result;
 }
 
-closed_places shared_constraints::counts() const
+blocked_backends shared_constraints::counts() const
 {
-    closed_places counted;
+    blocked_backends counted;
     const std::lock_guard lock(d->mutex);
     const auto now = monotonicNow();
     for (const auto &[replica, constraint] : d->table.known) {
-        counted.resting += now < constraint.restsUntil ? 1 : 0;
+        counted.inBackoff += now < constraint.restsUntil ? 1 : 0;
         counted.limited += constraint.rateLimit ? 1 : 0;
         counted.leaving += constraint.isLeaving ? 1 : 0;
     }
--- a/Libraries/Entry/shared_constraints.h
+++ b/Libraries/Entry/shared_constraints.h
@@ -14,67 +14,75 @@
 
 namespace vetchpost {
 
-/// Which of the places that a request may go to are closed to it.
-struct closed_places
+/// The candidates for a request that must not be sent it now.
+struct blocked_backends
 {
     std::vector<instance_id> replicas;
-    /// When the first of them opens; nothing where none does.
-    std::optional<instant> opensAt;
-    /// How many of them rest, have a limit, leave.
-    int resting = 0;
+    /// The earliest time at which one of them may be sent a request again; nothing if there is none.
+    std::optional<instant> unblockedAt;
+    /// Number of them in a backoff.
+    int inBackoff = 0;
+    /// Number of them with a rate limit for which this daemon holds no permit.
     int limited = 0;
+    /// Number of them that leave.
     int leaving = 0;
 
-    /// For the log; empty where none is closed.
+    /// Returns the numbers for the log; empty if all are zero.
     std::string text() const;
 };
 
-/// What this daemon knows of replicas that named a limit, asked for rest or leave, how far its neighbours have it, and the permits for
-/// replicas with a limit: those it holds, and as the source those it issues. Logs and counts what it learns. Safe to use from several
-/// threads.
+/// This daemon's table of replicas that stated a rate limit, requested a backoff or leave, which is synchronised with the daemon's source
+/// and followers; and the permits for replicas with a rate limit: those that it holds, and those that it issues as the source. Logs and
+/// counts new constraints. Safe to use from several threads.
 class shared_constraints
 {
 public:
-    /// \a didLearnLeaving is called after a replica was learned to leave: by an answer on its thread, by lists in tellLearned().
+    /// \a didLearnLeaving is called when a replica is newly known to leave: by applyNotice() for an answer, by notifyDepartures() for
+    /// received batches.
     shared_constraints(metrics &counters, std::function<void()> didLearnLeaving);
     ~shared_constraints();
     shared_constraints(const shared_constraints &) = delete;
     shared_constraints &operator=(const shared_constraints &) = delete;
 
-    /// Takes in what a replica's answer to a request says, or to a call of the daemon's own (then \a request is empty). True where other
-    /// daemons have to know.
-    bool noteAnswer(const replica_key &replica, const replica_notice &notice, const request_id &request = {});
-    /// Takes in replicas whose entries say that they leave. True where other daemons have to know.
-    bool noteDepartures(const std::vector<replica_key> &replicas);
-    /// A request goes to the place now.
-    void noteSent(const backend &place);
+    /// Records the constraints in a replica's answer to a request, or to an order or a probe (then \a request is empty). Returns whether
+    /// other daemons need to know them.
+    bool applyNotice(const replica_key &replica, const replica_notice &notice, const request_id &request = {});
+    /// Records replicas whose entries say that they leave. Returns whether that was new, so that other daemons need to know it.
+    bool recordDepartures(const std::vector<replica_key> &replicas);
+    /// Counts a request that is sent to a backend, for the log of requests to constrained replicas.
+    void recordSent(const backend &target);
 
-    /// The closed ones of \a candidates, without those in \a tried.
-    closed_places closedPlaces(const std::vector<backend> &candidates, const std::vector<instance_id> &tried) const;
-    /// A question for one of the places that are closed for want of a permit, \a draw decides for which; nothing where none is due.
+    /// Returns those of \a candidates that must not be sent a request now, without those in \a tried.
+    blocked_backends blockedBackends(const std::vector<backend> &candidates, const std::vector<instance_id> &tried) const;
+    /// Returns a request for a permit for one of the candidates that lack one, with the search starting at the random number \a draw;
+    /// nothing if no such request is due.
     std::optional<permit_question>
-    wantPermit(const std::vector<backend> &candidates, const std::vector<instance_id> &tried, std::uint64_t draw);
-    /// Takes the permit that the place asks for; true also where it asks for none.
-    bool takePermit(const backend &place);
-    /// Waits until an answer has come, not beyond \a until.
+    nextPermitRequest(const std::vector<backend> &candidates, const std::vector<instance_id> &tried, std::uint64_t draw);
+    /// Consumes a permit for a backend. Returns false if it needs one and this daemon holds none.
+    bool takePermit(const backend &target);
+    /// Waits for an answer to a permit request, until \a until at the latest.
     void awaitPermit(instant until) const;
 
-    // The neighbours.
-    std::vector<feed_datagram> due(const std::optional<endpoint> &source, const std::vector<endpoint> &followers);
-    feed_datagram take(const constraint_batch &list, const endpoint &from);
-    /// Calls didLearnLeaving where lists have told of departures since the last call.
-    void tellLearned();
-    void take(const constraint_ack &receipt, const endpoint &from);
-    /// As the source: issues permits.
+    // Synchronisation with the source and the followers
+    /// Returns the batches to send now to the source, if there is one, and to the followers.
+    std::vector<feed_datagram> dueBatches(const std::optional<endpoint> &source, const std::vector<endpoint> &followers);
+    /// Merges a batch of another daemon's table. Returns its acknowledgement.
+    feed_datagram receiveBatch(const constraint_batch &list, const endpoint &from);
+    /// Calls didLearnLeaving if received batches contained replicas that leave since the last call.
+    void notifyDepartures();
+    /// Handles the acknowledgement of a batch that was sent.
+    void receiveAck(const constraint_ack &receipt, const endpoint &from);
+    /// As the source: issues permits to the daemon at the address \a asker. The answer may grant none.
     permit_answer issue(const permit_question &question, const endpoint &asker);
-    void take(const permit_answer &answer);
-    /// This daemon becomes the source, or is none any more: what it issued before is void by then.
-    void beginIssuing();
+    /// Stores granted permits, and wakes the threads in awaitPermit().
+    void addPermits(const permit_answer &answer);
+    /// Discards the record of issued permits, when this daemon becomes the source or stops being it: those have expired by then.
+    void resetPermits();
 
-    /// Those that leave by their own word.
+    /// Returns the replicas that are known to leave.
     std::set<replica_key> leaving() const;
-    /// Replicas that rest, have a limit, leave.
-    closed_places counts() const;
+    /// Returns the numbers of replicas in a backoff, with a rate limit, and leaving. Lists no replicas.
+    blocked_backends counts() const;
 
 private:
     struct private_data;
--- a/Libraries/Entry/shared_suspects.cpp
+++ b/Libraries/Entry/shared_suspects.cpp
@@ -39,15 +39,15 @@
     counter dropped;
 
     explicit private_data(metrics &counters)
-        : ends(counters.addCounter("vetchpost_suspect_ends_total", "Lost tries whose replica had ended, seen by this daemon."))
+        : ends(counters.addCounter("vetchpost_suspect_ends_total", "Lost attempts whose replica had ended, as seen by this daemon."))
         , refusals(counters.addCounter("vetchpost_crashing_requests_total", "Requests that this daemon learned to refuse."))
         , cleared(counters.addCounter("vetchpost_crashing_requests_cleared_total", "Refused requests that are allowed again."))
-        , dropped(counters.addCounter("vetchpost_suspects_dropped_total", "Suspects left out for want of room."))
+        , dropped(counters.addCounter("vetchpost_suspects_dropped_total", "Suspects dropped because the table was full."))
     {
     }
 
-    /// Takes the suspicion from requests that this daemon saw answered lately; with the mutex held.
-    void speakForAnswered()
+    /// Clears requests that this daemon saw answered recently of a suspicion that would concern all daemons. Requires the mutex to be held.
+    void clearAnsweredRequests()
     {
         std::vector<request_identity> answered;
         for (const auto &[request, suspect] : table.suspects) {
@@ -60,14 +60,15 @@
         }
     }
 
-    /// Changes the table, with the mutex held, and tells what has become of the refusals.
+    /// Calls \a make, which changes the table, and logs and counts the requests that are newly refused or allowed, with the reason \a why.
+    /// Requires the mutex to be held.
     template <class Change>
     auto change(std::string_view why, const Change &make)
     {
         const auto before = table.refused;
         const auto droppedBefore = table.dropped;
         auto result = make();
-        speakForAnswered();
+        clearAnsweredRequests();
         for (const auto &request : table.refused) {
             if (!before.contains(request)) {
                 const auto &suspect = table.suspects.at(request);
@@ -109,7 +110,7 @@
     return vetchpost::refusedFor(d->table, request, monotonicNow());
 }
 
-void shared_suspects::noteEnd(const request_identity &request, const organisation_id &organisation, replica_end end)
+void shared_suspects::recordReplicaEnd(const request_identity &request, const organisation_id &organisation, replica_end end)
 {
     const std::lock_guard lock(d->mutex);
     d->ends.increment();
@@ -121,7 +122,7 @@
     });
 }
 
-void shared_suspects::noteAnswered(const request_identity &request)
+void shared_suspects::recordCompletion(const request_identity &request)
 {
     const std::lock_guard lock(d->mutex);
     noteAnswer(d->answers, request, monotonicNow());
@@ -149,32 +150,32 @@
     return result;
 }
 
-void shared_suspects::takeKept(const std::vector<crash_evidence> &evidence)
+void shared_suspects::mergePersisted(const std::vector<crash_evidence> &evidence)
 {
     const std::lock_guard lock(d->mutex);
     const auto now = monotonicNow();
     d->change("the key-value service keeps it", [&] {
-        for (const auto &kept : evidence) {
-            takeEvidence(d->table, kept, now);
+        for (const auto &persisted : evidence) {
+            takeEvidence(d->table, persisted, now);
         }
         forgetOld(d->table, now);
         return true;
     });
 }
 
-std::vector<feed_datagram> shared_suspects::due(const std::optional<endpoint> &source, const std::vector<endpoint> &followers)
+std::vector<feed_datagram> shared_suspects::dueBatches(const std::optional<endpoint> &source, const std::vector<endpoint> &followers)
 {
     const std::lock_guard lock(d->mutex);
     return collectDueBatches(d->spread, d->table, source, followers, monotonicNow());
 }
 
-feed_datagram shared_suspects::take(const suspect_batch &list, const endpoint &from)
+feed_datagram shared_suspects::receiveBatch(const suspect_batch &list, const endpoint &from)
 {
     const std::lock_guard lock(d->mutex);
     return d->change("another daemon tells of it", [&] { return applyBatch(d->spread, d->table, list, from, monotonicNow()); });
 }
 
-void shared_suspects::take(const suspect_ack &receipt, const endpoint &from)
+void shared_suspects::receiveAck(const suspect_ack &receipt, const endpoint &from)
 {
     const std::lock_guard lock(d->mutex);
     applyAck(d->spread, receipt, from);
--- a/Libraries/Entry/shared_suspects.h
+++ b/Libraries/Entry/shared_suspects.h
@@ -9,8 +9,8 @@
 
 namespace vetchpost {
 
-/// This daemon's table of requests under which replicas ended, and how far its neighbours have it. Logs and counts what it learns. Safe to
-/// use from several threads.
+/// This daemon's table of requests that replicas ran when they ended, which is synchronised with the daemon's source and followers. A
+/// request under which several replicas ended is refused. Logs and counts changes. Safe to use from several threads.
 class shared_suspects
 {
 public:
@@ -19,24 +19,29 @@
     shared_suspects(const shared_suspects &) = delete;
     shared_suspects &operator=(const shared_suspects &) = delete;
 
-    /// Whether there is any: without one no request's identity matters.
+    /// Whether there is any suspect. While there is none, callers need not compute a request's identity.
     bool hasAny() const;
-    /// How long a request is still refused; nothing where it is not.
+    /// Returns for how much longer a request is refused; nothing if it is not.
     std::optional<duration> refusedFor(const request_identity &request) const;
-    void noteEnd(const request_identity &request, const organisation_id &organisation, replica_end end);
-    void noteAnswered(const request_identity &request);
-    /// An operator's word that a request may run again: its ends so far no longer count. False where it is not known.
+    /// Records that a replica ended while it ran a request.
+    void recordReplicaEnd(const request_identity &request, const organisation_id &organisation, replica_end end);
+    /// Records that this daemon received the complete answer to a request, which clears it of suspicion.
+    void recordCompletion(const request_identity &request);
+    /// Allows a request again for an operator: the ends recorded so far no longer count. Returns false if the request is unknown.
     bool allow(const request_identity &request);
 
-    /// The refused ones: to be kept, and shown.
+    /// Returns the refused requests, to be persisted and shown to operators.
     std::vector<crash_evidence> refused() const;
-    /// What was kept.
-    void takeKept(const std::vector<crash_evidence> &evidence);
-
-    // The neighbours.
-    std::vector<feed_datagram> due(const std::optional<endpoint> &source, const std::vector<endpoint> &followers);
-    feed_datagram take(const suspect_batch &list, const endpoint &from);
-    void take(const suspect_ack &receipt, const endpoint &from);
+    /// Merges refused requests that were persisted in the key-value service.
+    void mergePersisted(const std::vector<crash_evidence> &evidence);
+
+    // Synchronisation with the source and the followers
+    /// Returns the batches to send now to the source, if there is one, and to the followers.
+    std::vector<feed_datagram> dueBatches(const std::optional<endpoint> &source, const std::vector<endpoint> &followers);
+    /// Merges a batch of another daemon's table. Returns its acknowledgement.
+    feed_datagram receiveBatch(const suspect_batch &list, const endpoint &from);
+    /// Handles the acknowledgement of a batch that was sent.
+    void receiveAck(const suspect_ack &receipt, const endpoint &from);
 
 private:
     struct private_data;
--- a/Libraries/Entry/store_follower.cpp
+++ b/Libraries/Entry/store_follower.cpp
@@ -6,16 +6,16 @@
 namespace vetchpost {
 
 store_follower::private_data::private_data(key_value_service &service,
-                                           const entry_dialect &words,
+                                           const entry_dialect &entryDialect,
                                            const feed_timing &feedTiming,
                                            metrics &counters,
-                                           std::function<void()> changed,
-                                           std::function<void(const std::vector<replica_key> &)> seeLeaving)
+                                           std::function<void()> changeListener,
+                                           std::function<void(const std::vector<replica_key> &)> leavingListener)
     : keyValue(service)
-    , dialect(words)
+    , dialect(entryDialect)
     , timing(feedTiming)
-    , didChange(std::move(changed))
-    , didSeeLeaving(std::move(seeLeaving))
+    , didChange(std::move(changeListener))
+    , didSeeLeaving(std::move(leavingListener))
     , undecodable(counters.addCounter("vetchpost_undecodable_entries_total", "Values of the key-value service that could not be read."))
 {
 }
@@ -28,37 +28,37 @@
     return !isStopping;
 }
 
-void store_follower::private_data::noteAnswer(bool hasAnswered, const reason &why)
+void store_follower::private_data::recordServiceAnswer(bool hasAnswered, const reason &why)
 {
     const std::lock_guard lock(mutex);
     const auto now = monotonicNow();
-    const auto silence = now - presence.lastAnswer;
-    if (noteCall(presence, hasAnswered, now)) {
+    const auto silence = now - availability.lastAnswer;
+    if (recordCall(availability, hasAnswered, now)) {
         storeLog.write(hasAnswered ? "store_regained" : "store_lost", {{"silent_ms", silence.count()}, {"why", why.text}});
     }
 }
 
-duration store_follower::private_data::replicasOutage() const
+duration store_follower::private_data::recentOutage() const
 {
     const std::lock_guard lock(mutex);
-    return absenceBefore(presence, lapsedGrace, monotonicNow());
+    return outageDuration(availability, lapsedGrace, monotonicNow());
 }
 
-bool store_follower::private_data::isTold() const
+bool store_follower::private_data::isSourceCurrent() const
 {
     const std::lock_guard lock(mutex);
-    const auto limit = hasFollowersNow() ? timing.relayWatchDelay : timing.directWatchDelay;
-    return !isSource && toldAt && monotonicNow() - *toldAt < limit;
+    const auto limit = hasFollowers() ? timing.relayWatchDelay : timing.directWatchDelay;
+    return !isSource && sourceCurrentAt && monotonicNow() - *sourceCurrentAt < limit;
 }
 
-bool store_follower::private_data::hasFollowersNow() const
+bool store_follower::private_data::hasFollowers() const
 {
     return countDaemons(feed, monotonicNow()) > 1;
 }
 
-duration store_follower::private_data::readingLimit() const
+duration store_follower::private_data::maximumConfigurationAge() const
 {
-    return hasFollowersNow() ? timing.relayReadDelay : timing.directReadDelay;
+    return hasFollowers() ? timing.relayReadDelay : timing.directReadDelay;
 }
 
 store_follower::store_follower(key_value_service &keyValue,
@@ -100,31 +100,31 @@
     d->isSource = isSource;
 }
 
-void store_follower::noteTraffic()
+void store_follower::recordTraffic()
 {
     if (!d->hasTraffic.exchange(true)) {
-        // Between the look at the flag and the wait of the thread that is to wake, none may come.
+        // Locks the mutex so that the waiting thread cannot miss the wake-up between its check of the flag and its wait.
         const std::lock_guard lock(d->mutex);
         d->wake.notify_all();
     }
 }
 
-void store_follower::listAgain()
+void store_follower::relist()
 {
     d->list(read_freshness::current);
 }
 
-void store_follower::takeUpdate(const feed_update &update, std::optional<instant> asked)
+void store_follower::applyUpdate(const feed_update &update, std::optional<instant> asked)
 {
-    d->takeUpdate(update, asked);
+    d->applyUpdate(update, asked);
 }
 
-void store_follower::noteLeaving(const std::set<replica_key> &replicas)
+void store_follower::updateLeaving(const std::set<replica_key> &replicas)
 {
     {
         const std::lock_guard lock(d->mutex);
-        vetchpost::noteLeaving(d->leaving, replicas, monotonicNow());
-        if (areShown(*d->published, d->leaving)) {
+        vetchpost::updateLeaving(d->leaving, replicas, monotonicNow());
+        if (areMarkedLeaving(*d->published, d->leaving)) {
             return;
         }
     }
@@ -157,7 +157,7 @@
     d->feed.sourceDaemonCount = sourceDaemonCount;
 }
 
-std::vector<feed_datagram> store_follower::endOfFeed()
+std::vector<feed_datagram> store_follower::endFeed()
 {
     const std::lock_guard lock(d->mutex);
     std::vector<feed_datagram> datagrams;
@@ -185,7 +185,7 @@
     return vetchpost::activeFollowers(d->feed, monotonicNow());
 }
 
-int store_follower::daemonsHeard() const
+int store_follower::knownDaemons() const
 {
     const std::lock_guard lock(d->mutex);
     return countDaemons(d->feed, monotonicNow());
@@ -212,13 +212,13 @@
 configuration_knowledge store_follower::configurationKnowledge() const
 {
     const std::lock_guard lock(d->mutex);
-    return {d->currentAt, d->toldAt};
+    return {d->currentAt, d->sourceCurrentAt};
 }
 
 bool store_follower::isServiceAnswering() const
 {
     const std::lock_guard lock(d->mutex);
-    return d->presence.isReachable;
+    return d->availability.isReachable;
 }
 
 std::optional<instant> store_follower::listedAt() const
--- a/Libraries/Entry/store_follower.h
+++ b/Libraries/Entry/store_follower.h
@@ -18,12 +18,13 @@
 
 namespace vetchpost {
 
-/// Keeps the configuration and the replicas' entries of the key-value service at hand, each on a thread of its own. While the coordinator
-/// passes them on it is not asked; the coordinator itself, and a daemon that does not hear it, ask the service.
+/// Keeps a local copy of the configuration and of the replicas' entries in the key-value service, each on its own thread. A daemon that
+/// receives updates from the source (the coordinator, or a relay) does not call the service; the coordinator itself, and a daemon without a
+/// source, do.
 class store_follower
 {
 public:
-    /// \a didChange is called on either thread after anything changed, \a didSeeLeaving with replicas whose entries say that they leave.
+    /// \a didChange is called on any thread after a change, \a didSeeLeaving with replicas whose entries say that they leave.
     store_follower(key_value_service &keyValue,
                    const entry_dialect &dialect,
                    const feed_timing &timing,
@@ -36,45 +37,51 @@
 
     void start();
     void stop();
-    /// Whether this daemon passes on what it reads: then it reads often, and changes of the replicas are told one by one.
+    /// Sets whether this daemon is the source, which relays what it reads to its followers. A source reads often, and watches the replicas
+    /// even before the first request.
     void setSource(bool isSource);
-    /// The first request has come, here or elsewhere.
-    void noteTraffic();
-    /// Replicas that leave by their own word: the directory shows them as if their entries said so.
-    void noteLeaving(const std::set<replica_key> &replicas);
-    /// Reads a whole new listing of the replicas before it returns.
-    void listAgain();
+    /// Records that a first request has arrived, here or at another daemon. From then on the replicas' changes are followed one by one.
+    void recordTraffic();
+    /// Replaces the set of replicas that announced that they leave. The directory marks them as if their entries said so.
+    void updateLeaving(const std::set<replica_key> &replicas);
+    /// Reads a new listing of the replicas before it returns. If that fails, the thread that follows them lists again.
+    void relist();
 
-    /// Takes in what the source passes on. \a asked is when the subscription was sent that it answers; nothing where it answers none.
-    void takeUpdate(const feed_update &update, std::optional<instant> asked);
-    /// The service's revision up to which the replicas' entries are known; 0 before the first listing.
+    /// Applies an update from the source. \a asked is the time at which the subscription that it answers was sent; nothing if it answers
+    /// none.
+    void applyUpdate(const feed_update &update, std::optional<instant> asked);
+    /// Returns the service's revision up to which the replicas' entries are known; 0 before the first listing.
     std::uint64_t replicasUpTo() const;
-    /// With \a mayRefer a follower may be sent to a relay.
+    /// Returns the answer to a follower's subscription. With \a mayRefer it may refer the follower to a relay.
     std::vector<feed_datagram> answerSubscription(const feed_subscription &subscription, const endpoint &from, bool mayRefer = false);
+    /// Returns the changes that active followers have not been sent yet.
     std::vector<feed_datagram> pendingPushes();
-    /// Where what is known here was read, and how many daemons there are by the word of the one that passed it on.
+    /// Sets which daemon read this copy from the service, and the number of daemons reported by the source; 0 if this daemon read it.
     void setOrigin(const feed_origin &origin, int sourceDaemonCount);
-    /// Tells all followers that this daemon is no source any more, and forgets them.
-    std::vector<feed_datagram> endOfFeed();
-    /// Requests of each model that the followers hold.
+    /// Removes all followers, and returns the messages which tell them that this daemon is no longer their source.
+    std::vector<feed_datagram> endFeed();
+    /// Returns the number of requests for each model of a service that the followers hold.
     std::map<model_id, int> followersDemand(const service_id &service) const;
+    /// Returns the number of requests for each model that the followers hold, over all services.
     std::vector<model_demand> followersDemand() const;
-    /// The followers that were heard lately.
+    /// Returns the addresses of the followers that subscribed recently.
     std::vector<endpoint> activeFollowers() const;
-    /// Followers that were heard lately, and this daemon.
-    int daemonsHeard() const;
+    /// Returns the number of daemons that subscribed recently, directly or through a relay, plus this one.
+    int knownDaemons() const;
 
-    /// nullptr before the first configuration.
+    /// Returns the routes of the configuration; nullptr before the first one.
     std::shared_ptr<const route_table> routes() const;
+    /// Returns the current directory of the replicas, which is empty before the first listing.
     std::shared_ptr<const replica_directory> directory() const;
-    /// The configuration at hand was the newest at this moment: when the last successful read began.
+    /// Returns the latest time at which the configuration is known to have been the newest: the start of a read, here or at the source.
     std::optional<instant> configurationCurrentAt() const;
+    /// Returns when the configuration here, and that of the source, were last known to be the newest.
     configuration_knowledge configurationKnowledge() const;
-    /// Whether the key-value service answered the last call.
+    /// Whether the key-value service answered this daemon's last call.
     bool isServiceAnswering() const;
-    /// When the last whole listing began; nothing before the first.
+    /// Returns when the last complete listing began; nothing before the first one.
     std::optional<instant> listedAt() const;
-    /// When the first one began: all changes since then are known.
+    /// Returns when the first complete listing began; all changes since then are known.
     std::optional<instant> followedSince() const;
 
 private:
--- a/Libraries/Entry/store_follower_data.h
+++ b/Libraries/Entry/store_follower_data.h
@@ -3,7 +3,7 @@
 
 #include "Libraries/Base/event_log.h"
 #include "Libraries/Entry/replica_entries.h"
-#include "Libraries/Entry/service_presence.h"
+#include "Libraries/Entry/service_availability.h"
 #include "Libraries/Entry/store_follower.h"
 
 #include <atomic>
@@ -14,10 +14,11 @@
 namespace vetchpost {
 
 constexpr event_log storeLog("store");
-/// After a failed call.
+/// Pause after a failed call of the service.
 constexpr duration retryPause(250);
 
-/// What the two threads of a store_follower share, and how each goes on: configuration_reading and replica_reading.
+/// The state that the two threads of a store_follower share, and the functions of each, which are defined in configuration_reading.cpp and
+/// replica_reading.cpp.
 struct store_follower::private_data
 {
     key_value_service &keyValue;
@@ -31,87 +32,105 @@
     bool isStopping = false;
     std::atomic<bool> isSource = false;
     std::atomic<bool> hasTraffic = false;
-    /// The source told of another configuration.
+    /// The source has announced a newer configuration.
     bool mustReadConfiguration = false;
-    /// The source was in contact with the service at this moment.
-    std::optional<instant> toldAt;
+    /// When the source's configuration was last known to be the newest in the service.
+    std::optional<instant> sourceCurrentAt;
+    /// What the followers of this daemon are sent.
     feed_publisher feed;
+    /// The routes of the configuration; nullptr before the first one.
     std::shared_ptr<const route_table> table;
     key_revision configurationRevision;
+    /// When the configuration was last known to be the newest.
     std::optional<instant> currentAt;
     replica_entries entries;
     leaving_replicas leaving;
+    /// The directory that readers get.
     std::shared_ptr<const replica_directory> published = std::make_shared<replica_directory>();
+    /// When the last complete listing began, and the first one.
     std::optional<instant> lastListing;
     std::optional<instant> firstListing;
-    /// The service's revision up to which the entries are known; 0 where they must be listed.
+    /// The service's revision up to which the entries are known; 0 if they must be listed.
     std::uint64_t replicasUpTo = 0;
-    /// A watch or a listing had no answer: only a listing that is asked for from then on, or the source, tells what was missed.
+    /// When a watch or a listing failed. Only a listing that begins later, or an update from the source, shows the changes that were
+    /// missed.
     std::optional<instant> mustListSince;
-    /// The last watch brought so much that there is more. Of the thread that watches alone.
+    /// The last watch returned so many changes that there are more. Used only by the thread that watches.
     bool isBehind = false;
-    /// When all changes of the replicas up to then were known.
+    /// The latest time up to which all changes of the replicas are known.
     std::optional<instant> replicasCurrentAt;
-    service_presence presence{monotonicNow()};
+    service_availability availability{monotonicNow()};
     std::vector<std::thread> threads;
 
     private_data(key_value_service &service,
-                 const entry_dialect &words,
+                 const entry_dialect &entryDialect,
                  const feed_timing &feedTiming,
                  metrics &counters,
-                 std::function<void()> changed,
-                 std::function<void(const std::vector<replica_key> &)> seeLeaving);
+                 std::function<void()> changeListener,
+                 std::function<void(const std::vector<replica_key> &)> leavingListener);
 
-    /// False once the follower stops. Ends early with the first request.
+    /// Waits for \a time, or until the first request arrives. Returns false once the follower stops.
     bool pause(duration time);
-    /// Notes that the service answered or not, for the log.
-    void noteAnswer(bool hasAnswered, const reason &why);
-    /// How long the service was away before its present answers: only then may entries be missing whose replicas live.
-    duration replicasOutage() const;
-    /// Whether the source tells what the service holds, so that this daemon need not ask.
-    bool isTold() const;
-    /// The mutex is held.
-    bool hasFollowersNow() const;
-    /// The mutex is held.
-    duration readingLimit() const;
+    /// Records whether the service answered a call, and logs when an outage begins or ends.
+    void recordServiceAnswer(bool hasAnswered, const reason &why);
+    /// Returns the duration of a current or recent outage of the service, after which entries of live replicas may be missing; zero if
+    /// there was none.
+    duration recentOutage() const;
+    /// Whether the source's updates are recent enough that this daemon need not call the service.
+    bool isSourceCurrent() const;
+    /// Whether this daemon relays the feed to others. Requires the mutex to be held.
+    bool hasFollowers() const;
+    /// Returns the age from which on the configuration is read again. Requires the mutex to be held.
+    duration maximumConfigurationAge() const;
 
-    // The configuration.
+    // Configuration
+    /// The loop of the thread that reads the configuration.
     void followConfiguration();
-    bool mustAskForConfiguration();
-    /// False once the follower stops.
-    bool pauseOfConfiguration(bool isKnown);
-    /// Notes for the followers which configuration a read found.
-    void noteConfigurationRead(key_revision found, instant asked);
-    /// Whether there is a configuration.
+    /// Whether to read the configuration now. Resets mustReadConfiguration.
+    bool isConfigurationReadDue();
+    /// Waits until the next read may be due. Returns false once the follower stops.
+    bool waitBeforeConfigurationRead(bool isKnown);
+    /// Records the revision that a read found, for the followers.
+    void recordConfigurationRead(key_revision found, instant asked);
+    /// Reads the configuration. Returns whether the service has a readable one. \a isKnown: one has been read before.
     bool readConfiguration(bool isKnown);
-    bool takeConfiguration(const key_value_entry &entry, instant asked);
+    /// Puts a configuration into force unless it is older than the present one. Returns false if it cannot be decoded.
+    bool applyConfiguration(const key_value_entry &entry, instant asked);
 
-    // The replicas.
+    // Replicas
+    /// The loop of the thread that follows the replicas.
     void followReplicas();
-    /// After a watch without an answer the source, where it is heard, tells what was missed.
+    /// Whether the entries must be listed. After a failed watch an active source (\a isFed) sends the missed changes instead.
     bool needsListing(bool isFed) const;
+    /// Returns replicasUpTo under the mutex.
     std::uint64_t upTo() const;
-    duration changePause() const;
+    duration pauseBetweenWatches() const;
+    /// Lists the entries and publishes a new directory. Returns false if the service did not answer.
     bool list(read_freshness freshness);
-    /// False where the service did not answer, or no longer holds what has changed.
+    /// Waits for changes of the entries and applies them. Returns false if the service did not answer or has lost the history of the
+    /// changes.
     bool watch();
-    /// What can be read of the entries; of the others the last good one stays.
+    /// Decodes entries, and leaves out those that are unreadable, so that the last readable ones stay.
     std::vector<replica_change> decodeAll(const std::vector<key_value_entry> &values);
-    /// In the feed a departure stands behind all changes before it, which are thousands when the first request comes.
-    void tellLeaving(const std::vector<replica_change> &changes) const;
-    /// Whether there were any.
-    bool takeChanges(const std::vector<replica_change> &changes);
-    void giveUpLapsed();
-    instance_id idOf(const key_value_entry &entry) const;
+    /// Reports the replicas whose entries say that they leave to didSeeLeaving. The feed alone would be too slow: it sends a departure
+    /// after all earlier changes, which are thousands when the first request arrives.
+    void reportLeaving(const std::vector<replica_change> &changes) const;
+    /// Applies changes of entries. Returns whether there were any.
+    bool applyReplicaChanges(const std::vector<replica_change> &changes);
+    /// Removes lapsed and unlisted replicas whose time is over, and publishes a new directory if there were any.
+    void removeLapsedEntries();
+    instance_id replicaIdOf(const key_value_entry &entry) const;
+    /// Decodes an entry; nothing if it is unreadable, which is logged.
     std::optional<served_replica> decode(const key_value_entry &entry);
-    /// Shows what is known in a new directory, and tells that it did.
+    /// Rebuilds the published directory, and calls didChange.
     void publish();
-    /// Shows it. The mutex is held.
-    void showEntries();
+    /// Rebuilds the published directory from the entries and the announced departures. Requires the mutex to be held.
+    void rebuildDirectory();
 
-    // What the source tells.
-    void takeUpdate(const feed_update &update, std::optional<instant> asked);
-    void noteTold(key_revision configuration, instant at);
+    // Updates from the source
+    void applyUpdate(const feed_update &update, std::optional<instant> asked);
+    /// Records that \a configuration was the newest revision at \a at, and triggers a read if this daemon has an older one.
+    void recordSourceConfiguration(key_revision configuration, instant at);
 };
 
 } // namespace vetchpost
