--- a/Benchmarks/benchCrashes.cpp
+++ b/Benchmarks/benchCrashes.cpp
@@ -49,11 +49,11 @@
     const organisation_id organisation("organisation");
     const auto memoryBefore = residentKilobytes();
     measure("answered_calm", rounds, [&](int number) { suspects.recordCompletion(named(number)); });
-    measure("end_noted", static_cast<int>(mostSuspects), [&](int number) {
-        suspects.recordReplicaEnd(named(number), organisation, endOf("i-1", static_cast<std::uint64_t>(number)));
+    measure("end_noted", static_cast<int>(maxSuspects), [&](int number) {
+        suspects.recordReplicaEnd(named(number), organisation, replicaEndOf("i-1", static_cast<std::uint64_t>(number)));
     });
     measure("end_noted_full_table", 2000, [&](int number) {
-        suspects.recordReplicaEnd(named(rounds + number), organisation, endOf("i-2", static_cast<std::uint64_t>(number)));
+        suspects.recordReplicaEnd(named(rounds + number), organisation, replicaEndOf("i-2", static_cast<std::uint64_t>(number)));
     });
     measure("refusal_asked_full_table", rounds, [&](int number) { suspects.refusedFor(named(number)); });
     measure("answered_full_table", rounds, [&](int number) { suspects.recordCompletion(named(number)); });
--- a/Benchmarks/benchLimits.cpp
+++ b/Benchmarks/benchLimits.cpp
@@ -124,16 +124,16 @@
 outcome runWithPermits(const case_of_limit &play)
 {
     permit_issuer issuer;
-    std::vector<permit_wallet> wallets(static_cast<std::size_t>(play.daemons));
+    std::vector<permit_holder> wallets(static_cast<std::size_t>(play.daemons));
     const replica_key replica{instance_id("i-1"), {}};
     return run(play, [&](int daemon, instant now) {
         auto &wallet = wallets[static_cast<std::size_t>(daemon)];
-        const bool isTaken = takePermit(wallet, replica, now);
+        const bool isTaken = consumePermit(wallet, replica, now);
         if (!isTaken) {
             // The request goes elsewhere; the permit is for a later one.
-            if (const auto question = wantPermit(wallet, replica, now)) {
+            if (const auto question = nextPermitRequest(wallet, replica, now)) {
                 const endpoint asker{"10.0.0.1", static_cast<std::uint16_t>(daemon)};
-                takeAnswer(wallet, issuePermits(issuer, *question, play.limit, asker, now), now);
+                acceptResponse(wallet, issuePermits(issuer, *question, play.limit, asker, now), now);
             }
         }
         return isTaken;
--- a/Benchmarks/requestModel.cpp
+++ b/Benchmarks/requestModel.cpp
@@ -62,7 +62,7 @@
             m_places.push_back(hashOf("group" + std::to_string(i)));
         }
         std::sort(m_places.begin(), m_places.end());
-        m_queue.limits.longest = 4000;
+        m_queue.limits.maxLength = 4000;
         m_result.loads.resize(options.loads.size());
         double sum = 0;
         for (int i = 1; i <= options.prefixes; ++i) {
@@ -124,7 +124,7 @@
         for (auto &replica : m_replicas) {
             replica.reported = replica.running + static_cast<int>(replica.queue.size());
             replica.sentSince = 0;
-            noteReport(replica.limit, {replica.running, static_cast<int>(replica.queue.size()), 1, replica.inFlight}, m_now);
+            applyReport(replica.limit, {replica.running, static_cast<int>(replica.queue.size()), 1, replica.inFlight}, m_now);
         }
         after(m_options.reportLag, [this] { report(); });
     }
@@ -174,7 +174,7 @@
             return;
         }
         if (enqueue(m_queue, entry)) {
-            noteFirstTry(m_budget);
+            recordFirstAttempt(m_budget);
             serve();
         }
     }
@@ -268,7 +268,7 @@
         replica.firstToken = replica.firstToken == 0
             ? static_cast<double>(here.count())
             : newestShare * static_cast<double>(here.count()) + (1 - newestShare) * replica.firstToken;
-        noteFirstToken(replica.limit, here, replica.inFlight, m_now);
+        recordFirstToken(replica.limit, here, replica.inFlight, m_now);
         if (request.isDone) {
             return;
         }
--- a/Libraries/Daemon/admission.cpp
+++ b/Libraries/Daemon/admission.cpp
@@ -99,7 +99,7 @@
             const replica_choices choices{routes->places, [&](std::size_t place) {
                                               const auto &route = routes->replicas[place];
                                               auto load = loadOf(route, request, reserved, now);
-                                              load.isExcluded = load.isExcluded || now < rests.restsUntil(route.leader);
+                                              load.isExcluded = load.isExcluded || now < rests.backoffUntil(route.leader);
                                               return load;
                                           }};
             const auto chosen = chooseReplica(choices, request.prefix, policy, queue.random);
@@ -126,7 +126,7 @@
                 return reason{error_kind::no_serving_group, "no replica of the model serves at the moment"};
             }
             const auto opensInTime
-                = [&](const replica_route &route) { return isUntried(route) && rests.restsUntil(route.leader) < request.deadline; };
+                = [&](const replica_route &route) { return isUntried(route) && rests.backoffUntil(route.leader) < request.deadline; };
             if (!std::any_of(routes->replicas.begin(), routes->replicas.end(), opensInTime)) {
                 return reason{error_kind::overloaded, "all replicas of the model rest until after the deadline"};
             }
@@ -180,7 +180,7 @@
     std::unique_lock lock(queue.mutex);
     const auto arrived = monotonicNow();
     if (request.tried.empty()) {
-        noteFirstTry(queue.retries);
+        recordFirstAttempt(queue.retries);
     }
     if (queue.queue.length == 0) {
         if (auto route = d->choose(queue, request, arrived)) {
@@ -256,7 +256,7 @@
 {
     auto &queue = d->queueOf(deployment);
     const std::lock_guard lock(queue.mutex);
-    return takeRetry(queue.retries);
+    return spendRetry(queue.retries);
 }
 
 std::vector<queue_status> admission::queues() const
@@ -270,7 +270,7 @@
     return result;
 }
 
-void noteFirstToken(const replica_route &route, duration firstToken)
+void recordFirstToken(const replica_route &route, duration firstToken)
 {
     constexpr double newestShare = 0.2;
     auto &runtime = *route.runtime;
@@ -278,7 +278,7 @@
     const auto newest = static_cast<double>(firstToken.count());
     runtime.firstTokenMilliseconds = known == 0 ? newest : newestShare * newest + (1 - newestShare) * known;
     const std::lock_guard lock(runtime.mutex);
-    noteFirstToken(runtime.limit, firstToken, runtime.inFlight, monotonicNow());
+    recordFirstToken(runtime.limit, firstToken, runtime.inFlight, monotonicNow());
 }
 
 void noteTrouble(const replica_route &route, duration avoidFor)
@@ -286,7 +286,7 @@
     const auto now = monotonicNow();
     route.runtime->avoidUntil = (now + avoidFor).time_since_epoch().count();
     const std::lock_guard lock(route.runtime->mutex);
-    noteRefusal(route.runtime->limit, now);
+    recordRefusal(route.runtime->limit, now);
 }
 
 } // namespace vetchpost
--- a/Libraries/Daemon/admission.h
+++ b/Libraries/Daemon/admission.h
@@ -67,7 +67,7 @@
 };
 
 /// Takes in how long the first token took.
-void noteFirstToken(const replica_route &route, duration firstToken);
+void recordFirstToken(const replica_route &route, duration firstToken);
 /// Takes in that the replica failed or refused: it gets no new work for a moment.
 void noteTrouble(const replica_route &route, duration avoidFor);
 
--- a/Libraries/Daemon/caller_request.cpp
+++ b/Libraries/Daemon/caller_request.cpp
@@ -13,7 +13,7 @@
     record.body = fingerprintOf(request.body);
     record.owner = request.id;
     record.daemon = daemon;
-    record.at = calendarMilliseconds();
+    record.claimedAt = calendarMilliseconds();
     return record;
 }
 
--- a/Libraries/Daemon/claim_service.cpp
+++ b/Libraries/Daemon/claim_service.cpp
@@ -21,7 +21,7 @@
     struct waiting_asker
     {
         std::condition_variable wake;
-        std::optional<claim_answer> answer;
+        std::optional<claim_result> answer;
     };
 
     key_value_client &keyValue;
@@ -52,7 +52,7 @@
     void perform(unsigned shard, const std::vector<claim_action> &actions)
     {
         for (const auto &action : actions) {
-            if (const auto *answer = std::get_if<claim_answer>(&action)) {
+            if (const auto *answer = std::get_if<claim_result>(&action)) {
                 tell(*answer);
             } else if (const auto *write = std::get_if<write_shard>(&action)) {
                 workers.run([this, shard, call = *write] { writeShard(shard, call); });
@@ -62,7 +62,7 @@
         }
     }
 
-    void tell(const claim_answer &answer)
+    void tell(const claim_result &answer)
     {
         const auto asker = askers.find(answer.owner);
         if (asker != askers.end()) {
@@ -76,7 +76,7 @@
         reason why;
         const auto entry = keyValue.get(claimShardKey(shard), read_freshness::current, why);
         const std::lock_guard lock(mutex);
-        perform(shard, shardRead(batchers[shard], entry, monotonicNow()));
+        perform(shard, onShardRead(batchers[shard], entry, monotonicNow()));
     }
 
     void writeShard(unsigned shard, const write_shard &call)
@@ -84,7 +84,7 @@
         writes.increment();
         const auto result = keyValue.compareAndSwap(claimShardKey(shard), call.expected, call.text);
         const std::lock_guard lock(mutex);
-        perform(shard, shardWritten(batchers[shard], result, monotonicNow()));
+        perform(shard, onShardWritten(batchers[shard], result, monotonicNow()));
     }
 };
 
@@ -105,7 +105,7 @@
     });
 }
 
-claim_answer claim_service::claim(const claim_record &record, instant deadline)
+claim_result claim_service::claim(const claim_record &record, instant deadline)
 {
     private_data::waiting_asker asker;
     std::unique_lock lock(d->mutex);
--- a/Libraries/Daemon/claim_service.h
+++ b/Libraries/Daemon/claim_service.h
@@ -33,7 +33,7 @@
 
     void subscribeTo(timer_service &timers);
     /// Waits for the verdict on a claim. One without a verdict could not be claimed: the request must not run.
-    claim_answer claim(const claim_record &record, instant deadline);
+    claim_result claim(const claim_record &record, instant deadline);
     /// Says how a granted claim ended; written with the next batch.
     void settle(claim_change change, const claim_record &record);
     void keepAnswer(const request_id &owner, const kept_answer &answer);
--- a/Libraries/Daemon/model_gateway.cpp
+++ b/Libraries/Daemon/model_gateway.cpp
@@ -47,18 +47,18 @@
 {
     bool isComplete = false;
     bool hasCallerLeft = false;
-    try_failure failure = try_failure::not_sent;
+    attempt_failure failure = attempt_failure::not_sent;
     std::string why;
 };
 
-try_result failed(try_failure failure, std::string why)
+try_result failed(attempt_failure failure, std::string why)
 {
     return {false, false, failure, std::move(why)};
 }
 
 try_result callerLeft()
 {
-    return {false, true, try_failure::no_answer, "the caller has left"};
+    return {false, true, attempt_failure::no_answer, "the caller has left"};
 }
 
 /// One request on its way through tries, resumptions and continuations.
@@ -95,7 +95,7 @@
                 // Where no replica is left for another try, how the last one ended says more.
                 return giveUp(m_lastFailure.value_or(why));
             }
-            ++m_progress.tries;
+            ++m_progress.attempts;
             auto result = tryOn(*route);
             m_context.admissions.release(m_request.target.id, *route);
             if (result.hasCallerLeft) {
@@ -133,7 +133,7 @@
             route.leader, m_request.id, route.group, route.expected, m_admission.priority, m_body, m_sink.text(), m_answer.nextIndex};
         auto result = follow(makeCompletionCall(completion, longestFirstToken), route);
         while (!result.isComplete && !result.hasCallerLeft) {
-            const auto next = afterFailure(m_progress, result.failure, false, monotonicNow());
+            const auto next = planRecovery(m_progress, result.failure, false, monotonicNow());
             if (next.step != recovery_step::resume) {
                 break;
             }
@@ -150,7 +150,7 @@
         reason why;
         const auto status = stream.open(call, why);
         if (!status) {
-            return failed(why.kind == error_kind::backend_unreachable ? try_failure::not_sent : try_failure::no_answer, why.text);
+            return failed(why.kind == error_kind::backend_unreachable ? attempt_failure::not_sent : attempt_failure::no_answer, why.text);
         }
         if (*status != httpOk) {
             m_context.rests.noteAnswer(route.leader, *status, stream.headers());
@@ -168,15 +168,15 @@
                 return callerLeft();
             }
             if (wait != stream_wait::line) {
-                return failed(try_failure::broke_off, "the answer broke off");
+                return failed(attempt_failure::broke_off, "the answer broke off");
             }
-            const auto piece = answerPieceFrom(line);
+            const auto piece = answerChunkFrom(line);
             if (!piece) {
                 continue;
             }
             const auto now = monotonicNow();
-            switch (takePiece(m_answer, *piece)) {
-            case piece_verdict::deliver:
+            switch (checkChunk(m_answer, *piece)) {
+            case chunk_verdict::deliver:
                 noteTime(isFirst, route, begun, last, now);
                 isFirst = false;
                 last = now;
@@ -186,14 +186,14 @@
                 m_context.requests.tokens.increment();
                 m_progress.delivered = m_answer.nextIndex;
                 break;
-            case piece_verdict::complete:
-                return {true, false, try_failure::not_sent, {}};
-            case piece_verdict::duplicate:
+            case chunk_verdict::complete:
+                return {true, false, attempt_failure::not_sent, {}};
+            case chunk_verdict::duplicate:
                 break;
-            case piece_verdict::foreign:
-            case piece_verdict::gap:
+            case chunk_verdict::foreign:
+            case chunk_verdict::gap:
                 m_context.requests.foreignPieces.increment();
-                return failed(try_failure::foreign, "a piece of the answer was not the next of this request");
+                return failed(attempt_failure::foreign, "a piece of the answer was not the next of this request");
             }
         }
     }
@@ -205,9 +205,9 @@
         const auto json = body ? parseJson(*body) : std::nullopt;
         // Only the backend server's own word counts for "not run".
         if (json && jsonString(*json, "ran") == "not_run") {
-            return failed(try_failure::refused, jsonString(*json, "message"));
+            return failed(attempt_failure::refused, jsonString(*json, "message"));
         }
-        return failed(try_failure::failed, "the backend server answered " + std::to_string(status));
+        return failed(attempt_failure::failed, "the backend server answered " + std::to_string(status));
     }
 
     void noteTime(bool isFirst, const replica_route &route, instant begun, instant last, instant now)
@@ -216,7 +216,7 @@
             m_context.requests.tokenGap.observe(std::chrono::duration<double>(now - last).count());
             return;
         }
-        noteFirstToken(route, now - begun);
+        recordFirstToken(route, now - begun);
         if (m_progress.delivered == 0) {
             m_context.requests.firstToken.observe(std::chrono::duration<double>(now - m_request.received).count());
         }
@@ -228,8 +228,8 @@
         noteTrouble(route, avoidAfterTrouble);
         m_admission.tried.insert(route.group);
         // How it ends if there is no other try is worked out first: asking for one begins it.
-        const auto end = afterFailure(m_progress, result.failure, false, monotonicNow());
-        const auto next = afterFailure(m_progress, result.failure, true, monotonicNow());
+        const auto end = planRecovery(m_progress, result.failure, false, monotonicNow());
+        const auto next = planRecovery(m_progress, result.failure, true, monotonicNow());
         const bool wantsAnother = next.step == recovery_step::retry || next.step == recovery_step::continue_elsewhere;
         requestLog.info("A try failed. request={} group={} why=\"{}\" delivered={} goes_on={}",
                         m_request.id.value(),
--- a/Libraries/Daemon/organisation_limits.cpp
+++ b/Libraries/Daemon/organisation_limits.cpp
@@ -48,7 +48,7 @@
     const std::lock_guard lock(m_mutex);
     auto &use = m_uses[organisation.id];
     noteDemand(organisation, use, tokens, now);
-    return takeTokens(use.bucket, tokens, now.time_since_epoch().count());
+    return consumeTokens(use.bucket, tokens, now.time_since_epoch().count());
 }
 
 } // namespace vetchpost
--- a/Libraries/Daemon/replica_rests.cpp
+++ b/Libraries/Daemon/replica_rests.cpp
@@ -44,34 +44,34 @@
         return;
     }
     replica_notice notice;
-    notice.rest = restOf(headerValue(headers, "Retry-After"));
-    if (!notice.rest) {
+    notice.backoff = parseBackoff(headerValue(headers, "Retry-After"));
+    if (!notice.backoff) {
         return;
     }
     const std::lock_guard lock(d->mutex);
     const auto now = monotonicNow();
-    forgetOld(d->table, now);
-    if (vetchpost::noteAnswer(d->table, keyOf(from), notice, now).hasRest) {
-        restLog.info("A backend server asks for rest. address={} rest_ms={}", from.text(), notice.rest->count());
+    expireEntries(d->table, now);
+    if (vetchpost::applyNotice(d->table, keyOf(from), notice, now).hasBackoff) {
+        restLog.info("A backend server asks for rest. address={} rest_ms={}", from.text(), notice.backoff->count());
     }
     d->hasAny = true;
 }
 
-instant replica_rests::restsUntil(const endpoint &address) const
+instant replica_rests::backoffUntil(const endpoint &address) const
 {
     if (!d->hasAny) {
         return {};
     }
     const std::lock_guard lock(d->mutex);
     const auto *known = findConstraint(d->table, keyOf(address));
-    return known == nullptr ? instant() : known->restsUntil;
+    return known == nullptr ? instant() : known->backoffUntil;
 }
 
 std::optional<duration> replica_rests::opensAfter(const std::vector<endpoint> &addresses) const
 {
     std::optional<instant> first;
     for (const auto &address : addresses) {
-        const auto until = restsUntil(address);
+        const auto until = backoffUntil(address);
         first = std::min(first.value_or(until), until);
     }
     const auto now = monotonicNow();
--- a/Libraries/Daemon/replica_rests.h
+++ b/Libraries/Daemon/replica_rests.h
@@ -24,7 +24,7 @@
     /// Takes in a rejection's Retry-After; any other answer tells nothing.
     void noteAnswer(const endpoint &from, int status, const std::vector<http_header> &headers);
     /// When it takes requests again; the beginning of time where it does not rest.
-    instant restsUntil(const endpoint &address) const;
+    instant backoffUntil(const endpoint &address) const;
     /// How long until the first of them has rested; nothing where one does not rest, or there is none.
     std::optional<duration> opensAfter(const std::vector<endpoint> &addresses) const;
 
--- a/Libraries/Daemon/service_gateway.cpp
+++ b/Libraries/Daemon/service_gateway.cpp
@@ -86,7 +86,7 @@
         context.cluster.routing().read([&](const routing_snapshot &snapshot) {
             const auto *routes = snapshot.find(deployment);
             for (const auto &route : routes == nullptr ? std::vector<service_route>() : routes->services) {
-                if (tried.contains(route.instance) || now < context.rests.restsUntil(route.address)) {
+                if (tried.contains(route.instance) || now < context.rests.backoffUntil(route.address)) {
                     continue;
                 }
                 // One that had trouble a moment ago comes last, but it is better than none.
@@ -146,7 +146,7 @@
                        "no instance of the service is left to try"};
                 return std::nullopt;
             }
-            ++progress.tries;
+            ++progress.attempts;
             context.requests.accepted.increment();
             // Each call has a connection of its own: one that the server is just closing would leave the outcome unknown.
             auto reply = sendOnFreshConnection(makeCall(exchange, request, target, *route), why);
@@ -159,11 +159,11 @@
                 return reply;
             }
             tried.insert(route->instance);
-            const auto next = afterFailure(progress, failureOf(reply, request, why), true, monotonicNow());
+            const auto next = planRecovery(progress, failureOf(reply, request, why), true, monotonicNow());
             serviceLog.info("A try failed. request={} instance={} why=\"{}\"", request.id.value(), route->instance.value(), why.text);
             if (next.step != recovery_step::retry || !context.admissions.takeRetryFor(request.target.id)) {
                 why.kind = next.step == recovery_step::retry
-                    ? afterFailure(progress, failureOf(reply, request, why), false, monotonicNow()).kind
+                    ? planRecovery(progress, failureOf(reply, request, why), false, monotonicNow()).kind
                     : next.kind;
                 return std::nullopt;
             }
@@ -171,18 +171,18 @@
         }
     }
 
-    static try_failure failureOf(const std::optional<http_reply> &reply, const caller_request &request, const reason &why)
+    static attempt_failure failureOf(const std::optional<http_reply> &reply, const caller_request &request, const reason &why)
     {
         if (reply) {
-            return isForeign(*reply, request) ? try_failure::foreign : try_failure::refused;
+            return isForeign(*reply, request) ? attempt_failure::foreign : attempt_failure::refused;
         }
         switch (why.kind) {
         case error_kind::backend_unreachable:
-            return try_failure::not_sent;
+            return attempt_failure::not_sent;
         case error_kind::backend_truncated:
-            return try_failure::broke_off;
+            return attempt_failure::broke_off;
         default:
-            return try_failure::no_answer;
+            return attempt_failure::no_answer;
         }
     }
 
--- a/Libraries/Daemon/snapshot_builder.cpp
+++ b/Libraries/Daemon/snapshot_builder.cpp
@@ -41,7 +41,7 @@
     const auto there = std::max(1, report.running + report.queued);
     const auto inFlight = runtime.inFlight.load();
     const auto ownShare = std::min(1.0, static_cast<double>(inFlight) / there);
-    noteReport(runtime.limit, {report.running, report.queued, ownShare, inFlight}, now);
+    applyReport(runtime.limit, {report.running, report.queued, ownShare, inFlight}, now);
 }
 
 void orderByPlace(deployment_routes &routes)
--- a/Libraries/Entry/crash_guard.cpp
+++ b/Libraries/Entry/crash_guard.cpp
@@ -24,20 +24,20 @@
         , feed(peers)
         , suspects(shared)
         , endCheck(dialect)
-        , pending(endCheck, [this](const pending_loss &loss) { noteEnd(loss); })
+        , pending(endCheck, [this](const pending_loss &loss) { recordReplicaEnd(loss); })
         , record(keyValue,
                  {[&peers] { return peers.isSource(); },
                   [&peers] { return peers.isSourceActive(); },
-                  [&shared](const std::vector<crash_evidence> &kept) { shared.mergePersisted(kept); },
+                  [&shared](const std::vector<suspect_report> &kept) { shared.mergePersisted(kept); },
                   [&shared] { return shared.refused(); }})
     {
     }
 
-    void noteEnd(const pending_loss &loss)
+    void recordReplicaEnd(const pending_loss &loss)
     {
         const auto &replica = loss.target.replica;
         if (!hasSaidItLeaves(replica)) {
-            suspects.recordReplicaEnd(loss.request, loss.organisation, endOf(replica.value(), loss.target.life.value()));
+            suspects.recordReplicaEnd(loss.request, loss.organisation, replicaEndOf(replica.value(), loss.target.life.value()));
             feed.syncTables();
         }
     }
@@ -94,7 +94,7 @@
 {
     const auto found = d->endCheck.ask(target);
     if (request && found == replica_end_finding::has_ended) {
-        d->noteEnd({*request, organisation, target});
+        d->recordReplicaEnd({*request, organisation, target});
     } else if (request && found == replica_end_finding::unknown) {
         d->pending.add({*request, organisation, target});
     }
--- a/Libraries/Entry/crash_interface.cpp
+++ b/Libraries/Entry/crash_interface.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-Json::Value shown(const crash_evidence &evidence)
+Json::Value shown(const suspect_report &evidence)
 {
     Json::Value json;
     json["identity"] = evidence.request.value();
--- a/Libraries/Entry/crash_record.cpp
+++ b/Libraries/Entry/crash_record.cpp
@@ -19,7 +19,7 @@
 constexpr auto refusedField = "refused";
 constexpr auto writtenField = "written_ms";
 /// How often it looks whether there is something to read or write.
-constexpr duration lookPeriod(250);
+constexpr duration evaluationPeriod(250);
 /// Between two reads of a daemon that no other tells: half of the three seconds in which a refusal has to be known everywhere.
 constexpr duration untoldReadPeriod(1500);
 /// Between two reads while there is no key yet, and after a call without an answer.
@@ -91,7 +91,7 @@
     bool pause()
     {
         std::unique_lock lock(mutex);
-        wake.wait_for(lock, lookPeriod, [this] { return isStopping; });
+        wake.wait_for(lock, evaluationPeriod, [this] { return isStopping; });
         return !isStopping;
     }
 
@@ -174,7 +174,7 @@
             crashLog.write("notes_written", {{"refused", notes.refused.size()}, {"revision", known.value()}});
         } else {
             mayWrite = false;
-            nextRead = now + lookPeriod;
+            nextRead = now + evaluationPeriod;
         }
     }
 };
--- a/Libraries/Entry/crash_record.h
+++ b/Libraries/Entry/crash_record.h
@@ -14,7 +14,7 @@
 struct crash_notes
 {
     identity_key key;
-    std::vector<crash_evidence> refused;
+    std::vector<suspect_report> refused;
 };
 
 constexpr auto crashNotesKey = "vetchpost/crashing-requests";
@@ -30,9 +30,9 @@
     std::function<bool()> isSource;
     /// Whether another daemon tells this one.
     std::function<bool()> isTold;
-    std::function<void(const std::vector<crash_evidence> &)> didRead;
+    std::function<void(const std::vector<suspect_report> &)> didRead;
     /// What is to last.
-    std::function<std::vector<crash_evidence>()> lasting;
+    std::function<std::vector<suspect_report>()> lasting;
 };
 
 /// Reads and writes the notes on a thread of its own. They outlast the end of all daemons at once.
--- a/Libraries/Entry/entry_daemon.cpp
+++ b/Libraries/Entry/entry_daemon.cpp
@@ -151,7 +151,7 @@
     void recordReplyConstraints(const instance_id &replica, const http_reply &reply)
     {
         auto notice = dialect->readNotice(reply.status, reply.headers);
-        notice.tellsAll = false;
+        notice.isExhaustive = false;
         const auto directory = store.directory();
         const auto known = directory->replicas.find(replica);
         if (known != directory->replicas.end() && constraints.applyNotice({replica, known->second.life}, notice)) {
--- a/Libraries/Entry/model_shedding.cpp
+++ b/Libraries/Entry/model_shedding.cpp
@@ -11,17 +11,17 @@
     return found == m_states.end() || vetchpost::isAdmitted(found->second, static_cast<double>(draw % parts) / parts, now);
 }
 
-bool model_shedding::isCalm(const service_id &service, const model_id &model) const
+bool model_shedding::hasSpareCapacity(const service_id &service, const model_id &model) const
 {
     const std::lock_guard lock(m_mutex);
     const auto found = m_states.find({service, model});
-    return found == m_states.end() || vetchpost::isCalm(found->second);
+    return found == m_states.end() || vetchpost::hasSpareCapacity(found->second);
 }
 
-void model_shedding::noteFirstEvent(const service_id &service, const model_id &model, bool isLate, instant now)
+void model_shedding::recordFirstEvent(const service_id &service, const model_id &model, bool isLate, instant now)
 {
     const std::lock_guard lock(m_mutex);
-    vetchpost::noteFirstEvent(m_states[{service, model}], isLate, now);
+    vetchpost::recordFirstEvent(m_states[{service, model}], isLate, now);
 }
 
 } // namespace vetchpost
--- a/Libraries/Entry/model_shedding.h
+++ b/Libraries/Entry/model_shedding.h
@@ -15,8 +15,8 @@
 public:
     bool isAdmitted(const service_id &service, const model_id &model, std::uint64_t draw, instant now) const;
     /// Whether few first events of the model are late.
-    bool isCalm(const service_id &service, const model_id &model) const;
-    void noteFirstEvent(const service_id &service, const model_id &model, bool isLate, instant now);
+    bool hasSpareCapacity(const service_id &service, const model_id &model) const;
+    void recordFirstEvent(const service_id &service, const model_id &model, bool isLate, instant now);
 
 private:
     mutable std::mutex m_mutex;
--- a/Libraries/Entry/peer_feed.cpp
+++ b/Libraries/Entry/peer_feed.cpp
@@ -128,14 +128,14 @@
     }
 
     /// Only the source issues permits: two daemons that issued them for one replica would exceed its limit.
-    void handle(const permit_question &question, const endpoint &from)
+    void handle(const permit_request &question, const endpoint &from)
     {
         if (isSource()) {
             socket.send({{from}, constraints.issue(question, from)});
         }
     }
 
-    void handle(const permit_answer &answer, const endpoint &from)
+    void handle(const permit_response &answer, const endpoint &from)
     {
         if (from == knownOrigin()) {
             constraints.addPermits(answer);
@@ -148,7 +148,7 @@
         return origin;
     }
 
-    bool requestPermit(const permit_question &question)
+    bool requestPermit(const permit_request &question)
     {
         if (isSource()) {
             constraints.addPermits(constraints.issue(question, settings.peers));
@@ -451,7 +451,7 @@
     d->syncTables();
 }
 
-bool peer_feed::requestPermit(const permit_question &question)
+bool peer_feed::requestPermit(const permit_request &question)
 {
     return d->requestPermit(question);
 }
--- a/Libraries/Entry/relay_context.cpp
+++ b/Libraries/Entry/relay_context.cpp
@@ -88,15 +88,15 @@
     return true;
 }
 
-refusal_reach relay_context::reachWithoutListing() const
+refusal_scope relay_context::reachWithoutListing() const
 {
-    return m_store.isServiceAnswering() ? refusal_reach::starting : refusal_reach::all_daemons;
+    return m_store.isServiceAnswering() ? refusal_scope::starting : refusal_scope::all_daemons;
 }
 
-refusal_reach relay_context::reachOfStaleConfiguration(instant now) const
+refusal_scope relay_context::scopeOfStaleConfiguration(instant now) const
 {
     const auto known = m_store.configurationKnowledge();
-    return vetchpost::reachOfStaleConfiguration(known.currentAt.has_value(), m_store.isServiceAnswering(), isLeftBehind(known, now));
+    return vetchpost::scopeOfStaleConfiguration(known.currentAt.has_value(), m_store.isServiceAnswering(), isLeftBehind(known, now));
 }
 
 void relay_context::noteNotice(const backend &place, const replica_notice &notice, const request_id &request)
@@ -132,30 +132,30 @@
 /// The mutex is held.
 retry_budget &relay_context::budgetOf(const service_id &service)
 {
-    const repeat_bound bound{m_settings.retryShare, m_settings.retrySlack};
+    const retry_limit bound{m_settings.retryShare, m_settings.retrySlack};
     const auto daemons = m_feed.daemons();
     const auto [found, isNew] = m_budgets.try_emplace(service);
     auto &budget = found->second;
-    const auto before = budget.most;
+    const auto before = budget.maximum;
     if (isNew) {
-        budget = startBudget(bound, daemons, m_settings.isFirstStart);
+        budget = initialBudget(bound, daemons, m_settings.isFirstStart);
     } else {
-        divideBudget(budget, bound, daemons);
+        resizeBudget(budget, bound, daemons);
     }
-    if (isNew || budget.most != before) {
+    if (isNew || budget.maximum != before) {
         requestLog.write(
             "repeats_shared",
-            {{"service", service.value()}, {"daemons", daemons.value_or(0)}, {"most", budget.most}, {"available", budget.available}});
+            {{"service", service.value()}, {"daemons", daemons.value_or(0)}, {"most", budget.maximum}, {"available", budget.available}});
     }
     return budget;
 }
 
-duration relay_context::waitedBefore(const std::string &route, duration patience, instant now)
+duration relay_context::priorWait(const std::string &route, duration patience, instant now)
 {
     const std::lock_guard lock(m_patienceMutex);
     auto &known = m_patience[route];
-    notePatience(known, patience, now);
-    return vetchpost::waitedBefore(known, patience);
+    recordPatience(known, patience, now);
+    return vetchpost::priorWait(known, patience);
 }
 
 void relay_context::callRoll()
@@ -166,16 +166,16 @@
     }
 }
 
-void relay_context::noteFirstTry(const service_id &service)
+void relay_context::recordFirstAttempt(const service_id &service)
 {
     const std::lock_guard lock(m_budgetMutex);
-    vetchpost::noteFirstTry(budgetOf(service));
+    vetchpost::recordFirstAttempt(budgetOf(service));
 }
 
 bool relay_context::takeRepeat(const service_id &service)
 {
     const std::lock_guard lock(m_budgetMutex);
-    return takeRetry(budgetOf(service));
+    return spendRetry(budgetOf(service));
 }
 
 } // namespace vetchpost
--- a/Libraries/Entry/relay_context.h
+++ b/Libraries/Entry/relay_context.h
@@ -14,8 +14,8 @@
 #include "Libraries/Entry/shared_constraints.h"
 #include "Libraries/Entry/store_follower.h"
 #include "Libraries/Requests/client_patience.h"
-#include "Libraries/Requests/come_back.h"
-#include "Libraries/Requests/repeat_bound.h"
+#include "Libraries/Requests/retry_after.h"
+#include "Libraries/Requests/retry_limit.h"
 #include "Libraries/Settings/entry_settings.h"
 
 #include <atomic>
@@ -57,9 +57,9 @@
     /// Waits for a view with enough in it, not beyond \a until, as long as the key-value service seems to answer. Whether it is there.
     bool awaitView(instant until, const std::function<bool(const entry_view &)> &isEnough) const;
     /// Who else has not listed the replicas yet.
-    refusal_reach reachWithoutListing() const;
+    refusal_scope reachWithoutListing() const;
     /// Who else lacks a configuration that is known to be the newest.
-    refusal_reach reachOfStaleConfiguration(instant now) const;
+    refusal_scope scopeOfStaleConfiguration(instant now) const;
 
     /// A group is likely to stand still: nothing new goes there for a while, and what waits there goes elsewhere.
     void doubt(const instance_id &head) const;
@@ -70,12 +70,12 @@
         return ++m_turns;
     }
 
-    void noteFirstTry(const service_id &service);
+    void recordFirstAttempt(const service_id &service);
     /// Takes one repeat out of this daemon's part of the budget; false where it is used up.
     bool takeRepeat(const service_id &service);
 
     /// How long a client of a route has waited before it sent a request that leaves \a patience.
-    duration waitedBefore(const std::string &route, duration patience, instant now);
+    duration priorWait(const std::string &route, duration patience, instant now);
 
     /// Logs the ids of the requests that have no lines of their own.
     void callRoll();
--- a/Libraries/Entry/request_answer.cpp
+++ b/Libraries/Entry/request_answer.cpp
@@ -210,7 +210,7 @@
         m_longestPause = std::max(m_longestPause, now - *m_lastSent);
     }
     if (!m_firstSent && isStream() && m_service->engine) {
-        m_context.shedding.noteFirstEvent(m_service->id, m_head.model, now - m_arrival > m_route->objective, now);
+        m_context.shedding.recordFirstEvent(m_service->id, m_head.model, now - m_arrival > m_route->objective, now);
     }
     m_firstSent = m_firstSent.value_or(now);
     m_lastSent = now;
--- a/Libraries/Entry/request_finish.cpp
+++ b/Libraries/Entry/request_finish.cpp
@@ -66,30 +66,30 @@
     } else if (m_mayHaveRun) {
         refuse(error_kind::backend_lost, "no replica gave a whole answer");
     } else if (end == try_end::not_run) {
-        refuseForWantOfPlace(error_kind::backend_refused, "the replicas take no more requests", refusal_reach::full_places);
+        refuseForWantOfPlace(error_kind::backend_refused, "the replicas take no more requests", refusal_scope::full_slots);
     } else {
-        refuseForWantOfPlace(error_kind::no_serving_group, "no place takes requests", refusal_reach::whole_model);
+        refuseForWantOfPlace(error_kind::no_serving_group, "no place takes requests", refusal_scope::whole_model);
     }
 }
 
 /// Where all places are shut by their replicas' own word, the client is told when the first of them opens.
-void request_run::refuseForWantOfPlace(error_kind kind, const std::string &text, refusal_reach reach)
+void request_run::refuseForWantOfPlace(error_kind kind, const std::string &text, refusal_scope reach)
 {
     const auto newest = m_context.currentView();
     const auto &candidates = newest->backends(*m_service, m_head.model);
     m_closed = m_context.constraints.blockedBackends(candidates, {});
     const bool isAnyOpen = m_closed.replicas.size() < candidates.size();
     const auto opensAfter = m_closed.unblockedAt && !isAnyOpen ? std::optional(*m_closed.unblockedAt - monotonicNow()) : std::nullopt;
-    refuse(kind, text, opensAfter ? comeBackOnceOpen(*opensAfter, drawNumber()) : comeBackAfter(reach, drawNumber()));
+    refuse(kind, text, opensAfter ? retryAfterWhenBlocked(*opensAfter, drawNumber()) : retryAfterFor(reach, drawNumber()));
 }
 
-void request_run::refuse(error_kind kind, const std::string &text, refusal_reach reach)
+void request_run::refuse(error_kind kind, const std::string &text, refusal_scope reach)
 {
-    if (reach == refusal_reach::this_daemon) {
+    if (reach == refusal_scope::this_daemon) {
         // What the connection brings next would be refused too.
         m_exchange.closeAfterwards();
     }
-    refuse(kind, text, comeBackAfter(reach, drawNumber()));
+    refuse(kind, text, retryAfterFor(reach, drawNumber()));
 }
 
 void request_run::refuse(error_kind kind, const std::string &text, std::optional<duration> comeBackAfter)
--- a/Libraries/Entry/request_run.cpp
+++ b/Libraries/Entry/request_run.cpp
@@ -98,7 +98,7 @@
         m_view = m_context.currentView();
     }
     if (!m_view || !m_view->routes) {
-        refuse(error_kind::no_configuration, "no configuration has been read yet", m_context.reachOfStaleConfiguration(m_arrival));
+        refuse(error_kind::no_configuration, "no configuration has been read yet", m_context.scopeOfStaleConfiguration(m_arrival));
         return false;
     }
     m_route = m_view->routes->findRoute(m_exchange.header("Host"), m_exchange.path());
@@ -119,7 +119,7 @@
         return true;
     }
     if (!m_context.areKeysCurrent(m_arrival)) {
-        refuse(error_kind::platform_unavailable, "the keys at hand may be out of date", m_context.reachOfStaleConfiguration(m_arrival));
+        refuse(error_kind::platform_unavailable, "the keys at hand may be out of date", m_context.scopeOfStaleConfiguration(m_arrival));
         return false;
     }
     m_organisation = m_view->routes->findOrganisation(m_head.key);
@@ -137,7 +137,7 @@
     const auto *chosen = chooseService(*m_route, drawNumber());
     m_service = chosen == nullptr ? nullptr : m_view->routes->findService(*chosen);
     if (m_service == nullptr) {
-        refuse(error_kind::no_serving_group, "the route has no service", refusal_reach::all_daemons);
+        refuse(error_kind::no_serving_group, "the route has no service", refusal_scope::all_daemons);
         return;
     }
     if (const auto time = refusedFor()) {
@@ -148,14 +148,14 @@
         refuse(error_kind::platform_unavailable, "the replicas have not been listed yet", m_context.reachWithoutListing());
         return;
     }
-    m_context.noteFirstTry(m_service->id);
+    m_context.recordFirstAttempt(m_service->id);
     if (m_head.patience) {
-        m_waitedBefore = m_context.waitedBefore(m_route->name, *m_head.patience, m_arrival);
+        m_waitedBefore = m_context.priorWait(m_route->name, *m_head.patience, m_arrival);
     }
     // Models that no service knows must not fill the counts.
     const bool isCounted = m_service->engine && isKnownModel(*m_service->engine, m_head.model);
     if (isCounted && isStream() && !m_context.shedding.isAdmitted(m_service->id, m_head.model, drawNumber(), m_arrival)) {
-        refuse(error_kind::overloaded, "most first events of the model are late", refusal_reach::whole_model);
+        refuse(error_kind::overloaded, "most first events of the model are late", refusal_scope::whole_model);
         return;
     }
     if (isCounted) {
@@ -201,10 +201,11 @@
         m_closed = m_context.constraints.blockedBackends(candidates, m_tried);
         const bool isAsked = m_closed.limited > 0 && m_context.wantPermit(candidates, m_tried, drawNumber());
         const auto passedOver = joined(m_tried, m_closed.replicas);
-        const bool isCalm = m_context.shedding.isCalm(m_service->id, m_head.model);
+        const bool hasSpareCapacity = m_context.shedding.hasSpareCapacity(m_service->id, m_head.model);
         const auto now = monotonicNow();
-        const auto *best = chooseBackend(candidates, passedOver, newest->dataCentre, now, m_context.nextTurn(), drawNumber(), isCalm);
-        if (best != nullptr && m_context.constraints.takePermit(*best)) {
+        const auto *best
+            = chooseBackend(candidates, passedOver, newest->dataCentre, now, m_context.nextTurn(), drawNumber(), hasSpareCapacity);
+        if (best != nullptr && m_context.constraints.consumePermit(*best)) {
             return *best;
         }
         // Without an open place a permit that may come at once is waited for; the others are known to stay shut.
@@ -334,7 +335,7 @@
     head.organisation = organisation();
     head.lastEvent = m_events.lastId().empty() ? m_head.lastEvent : m_events.lastId();
     const bool hasOwn = m_organisation != nullptr && m_organisation->priority;
-    head.priority = priorityOf(hasOwn ? *m_organisation->priority : m_route->priority, isLate());
+    head.priority = replicaPriority(hasOwn ? *m_organisation->priority : m_route->priority, isLate());
     http_call call;
     call.to = target.address;
     call.method = m_exchange.method();
--- a/Libraries/Entry/request_run.h
+++ b/Libraries/Entry/request_run.h
@@ -42,8 +42,8 @@
     bool takeRepeatElsewhere();
     void finish(try_end end);
     void refuse(error_kind kind, const std::string &text, std::optional<duration> comeBackAfter = std::nullopt);
-    void refuse(error_kind kind, const std::string &text, refusal_reach reach);
-    void refuseForWantOfPlace(error_kind kind, const std::string &text, refusal_reach reach);
+    void refuse(error_kind kind, const std::string &text, refusal_scope reach);
+    void refuseForWantOfPlace(error_kind kind, const std::string &text, refusal_scope reach);
 
     void tellAnswered(try_end end);
     bool tellEnd(request_outcome outcome);
--- a/Libraries/Entry/shared_constraints.cpp
+++ b/Libraries/Entry/shared_constraints.cpp
@@ -30,11 +30,11 @@
     return std::find(tried.begin(), tried.end(), target.replica) != tried.end();
 }
 
-void count(blocked_backends &blocked, closure_cause cause)
+void count(blocked_backends &blocked, block_cause cause)
 {
-    blocked.inBackoff += cause == closure_cause::rest ? 1 : 0;
-    blocked.limited += cause == closure_cause::limit ? 1 : 0;
-    blocked.leaving += cause == closure_cause::leaving ? 1 : 0;
+    blocked.inBackoff += cause == block_cause::backoff ? 1 : 0;
+    blocked.limited += cause == block_cause::limit ? 1 : 0;
+    blocked.leaving += cause == block_cause::leaving ? 1 : 0;
 }
 
 /// The number of requests that this daemon sent to a constrained replica since a time.
@@ -58,7 +58,7 @@
     replica_constraints table;
     table_sync<replica_constraints> spread;
     permit_issuer issuer;
-    permit_wallet wallet;
+    permit_holder wallet;
     std::map<replica_key, send_count> sendCounts;
     instant cleanedAt;
     /// Whether any constraint is known. While there is none, requests need not lock the mutex.
@@ -100,15 +100,15 @@
     void
     logNotice(const replica_key &replica, const replica_notice &notice, const constraint_change &change, const request_id &request) const
     {
-        const auto &constraint = table.known.at(replica);
+        const auto &constraint = table.entries.at(replica);
         limits.increment(change.hasLimit ? 1 : 0);
-        rests.increment(change.hasRest ? 1 : 0);
+        rests.increment(change.hasBackoff ? 1 : 0);
         departures.increment(change.isLeaving ? 1 : 0);
         constraintLog.writeKept("replica_notice",
                                 {{"replica", replica.replica.value()},
                                  {"life", replica.life.value()},
                                  {"limit", constraint.rateLimit.value_or(-1)},
-                                 {"rest_ms", notice.rest.value_or(duration(0)).count()},
+                                 {"rest_ms", notice.backoff.value_or(duration(0)).count()},
                                  {"leaving", constraint.isLeaving},
                                  {"request", request.value()}});
     }
@@ -143,11 +143,11 @@
             return;
         }
         cleanedAt = now;
-        forgetOld(table, now);
-        keepLimited(issuer, table);
-        keepLimited(wallet, table);
-        std::erase_if(sendCounts, [&](const auto &entry) { return !table.known.contains(entry.first); });
-        hasAny = !table.known.empty();
+        expireEntries(table, now);
+        removeUnlimited(issuer, table);
+        removeUnlimited(wallet, table);
+        std::erase_if(sendCounts, [&](const auto &entry) { return !table.entries.contains(entry.first); });
+        hasAny = !table.entries.empty();
     }
 };
 
@@ -170,11 +170,11 @@
             d->unreadable.increment();
             constraintLog.write("notice_unreadable", {{"replica", replica.replica.value()}, {"value", notice.unreadable}});
         }
-        change = vetchpost::noteAnswer(d->table, replica, notice, monotonicNow());
+        change = vetchpost::applyNotice(d->table, replica, notice, monotonicNow());
         if (change.isAny()) {
             d->logNotice(replica, notice, change, request);
         }
-        d->hasAny = !d->table.known.empty();
+        d->hasAny = !d->table.entries.empty();
     }
     if (change.isLeaving) {
         d->didLearnLeaving();
@@ -185,8 +185,8 @@
 bool shared_constraints::recordDepartures(const std::vector<replica_key> &replicas)
 {
     const std::lock_guard lock(d->mutex);
-    const bool isNews = vetchpost::noteDepartures(d->table, replicas, monotonicNow());
-    d->hasAny = !d->table.known.empty();
+    const bool isNews = vetchpost::recordDepartures(d->table, replicas, monotonicNow());
+    d->hasAny = !d->table.entries.empty();
     return isNews;
 }
 
@@ -215,8 +215,8 @@
     for (const auto &target : candidates) {
         replica.replica = target.replica;
         replica.life = target.life;
-        const auto closure = wasTried(tried, target) ? place_closure() : closureOf(d->table, d->wallet, replica, now);
-        if (closure.cause == closure_cause::none) {
+        const auto closure = wasTried(tried, target) ? replica_block() : blockOf(d->table, d->wallet, replica, now);
+        if (closure.cause == block_cause::none) {
             continue;
         }
         blocked.replicas.push_back(target.replica);
@@ -228,7 +228,7 @@
     return blocked;
 }
 
-std::optional<permit_question>
+std::optional<permit_request>
 shared_constraints::nextPermitRequest(const std::vector<backend> &candidates, const std::vector<instance_id> &tried, std::uint64_t draw)
 {
     if (!d->hasAny) {
@@ -239,18 +239,18 @@
     for (std::size_t i = 0; i < candidates.size(); ++i) {
         const auto &target = candidates[(i + draw) % candidates.size()];
         const auto replica = keyOf(target);
-        if (wasTried(tried, target) || closureOf(d->table, d->wallet, replica, now).cause != closure_cause::limit) {
+        if (wasTried(tried, target) || blockOf(d->table, d->wallet, replica, now).cause != block_cause::limit) {
             continue;
         }
-        if (auto question = vetchpost::wantPermit(d->wallet, replica, now)) {
-            question->report = evidenceOf(replica, *findConstraint(d->table, replica), now);
+        if (auto question = vetchpost::nextPermitRequest(d->wallet, replica, now)) {
+            question->report = makeReport(replica, *findConstraint(d->table, replica), now);
             return question;
         }
     }
     return std::nullopt;
 }
 
-bool shared_constraints::takePermit(const backend &target)
+bool shared_constraints::consumePermit(const backend &target)
 {
     if (!d->hasAny) {
         return true;
@@ -261,7 +261,7 @@
     if (known == nullptr || !known->rateLimit) {
         return true;
     }
-    const bool isTaken = vetchpost::takePermit(d->wallet, replica, monotonicNow());
+    const bool isTaken = vetchpost::consumePermit(d->wallet, replica, monotonicNow());
     d->used.increment(isTaken ? 1 : 0);
     return isTaken;
 }
@@ -295,7 +295,7 @@
             d->hasPendingDepartures = d->hasPendingDepartures || known->isLeaving;
         }
     }
-    d->hasAny = !d->table.known.empty();
+    d->hasAny = !d->table.entries.empty();
     return receipt;
 }
 
@@ -312,20 +312,20 @@
     applyAck(d->spread, receipt, from);
 }
 
-permit_answer shared_constraints::issue(const permit_question &question, const endpoint &asker)
+permit_response shared_constraints::issue(const permit_request &question, const endpoint &asker)
 {
     const std::lock_guard lock(d->mutex);
-    auto answer = answerQuestion(d->issuer, d->table, question, asker, monotonicNow());
-    d->hasAny = !d->table.known.empty();
+    auto answer = answerPermitRequest(d->issuer, d->table, question, asker, monotonicNow());
+    d->hasAny = !d->table.entries.empty();
     d->issued.increment(answer.granted);
     return answer;
 }
 
-void shared_constraints::addPermits(const permit_answer &answer)
+void shared_constraints::addPermits(const permit_response &answer)
 {
     {
         const std::lock_guard lock(d->mutex);
-        if (takeAnswer(d->wallet, answer, monotonicNow()) && answer.granted == 0) {
+        if (acceptResponse(d->wallet, answer, monotonicNow()) && answer.granted == 0) {
             d->denied.increment();
         }
     }
@@ -342,7 +342,7 @@
 {
     std::set<replica_key> result;
     const std::lock_guard lock(d->mutex);
-    for (const auto &[replica, constraint] : d->table.known) {
+    for (const auto &[replica, constraint] : d->table.entries) {
         if (constraint.isLeaving) {
             result.insert(replica);
         }
@@ -355,8 +355,8 @@
     blocked_backends counted;
     const std::lock_guard lock(d->mutex);
     const auto now = monotonicNow();
-    for (const auto &[replica, constraint] : d->table.known) {
-        counted.inBackoff += now < constraint.restsUntil ? 1 : 0;
+    for (const auto &[replica, constraint] : d->table.entries) {
+        counted.inBackoff += now < constraint.backoffUntil ? 1 : 0;
         counted.limited += constraint.rateLimit ? 1 : 0;
         counted.leaving += constraint.isLeaving ? 1 : 0;
     }
--- a/Libraries/Entry/shared_constraints.h
+++ b/Libraries/Entry/shared_constraints.h
@@ -4,7 +4,7 @@
 #include "Libraries/Base/metrics.h"
 #include "Libraries/Entry/entry_view.h"
 #include "Libraries/Feed/table_sync.h"
-#include "Libraries/Requests/place_closure.h"
+#include "Libraries/Requests/replica_block.h"
 
 #include <functional>
 #include <memory>
@@ -56,10 +56,10 @@
     blocked_backends blockedBackends(const std::vector<backend> &candidates, const std::vector<instance_id> &tried) const;
     /// Returns a request for a permit for one of the candidates that lack one, with the search starting at the random number \a draw;
     /// nothing if no such request is due.
-    std::optional<permit_question>
+    std::optional<permit_request>
     nextPermitRequest(const std::vector<backend> &candidates, const std::vector<instance_id> &tried, std::uint64_t draw);
     /// Consumes a permit for a backend. Returns false if it needs one and this daemon holds none.
-    bool takePermit(const backend &target);
+    bool consumePermit(const backend &target);
     /// Waits for an answer to a permit request, until \a until at the latest.
     void awaitPermit(instant until) const;
 
@@ -73,9 +73,9 @@
     /// Handles the acknowledgement of a batch that was sent.
     void receiveAck(const constraint_ack &receipt, const endpoint &from);
     /// As the source: issues permits to the daemon at the address \a asker. The answer may grant none.
-    permit_answer issue(const permit_question &question, const endpoint &asker);
+    permit_response issue(const permit_request &question, const endpoint &asker);
     /// Stores granted permits, and wakes the threads in awaitPermit().
-    void addPermits(const permit_answer &answer);
+    void addPermits(const permit_response &answer);
     /// Discards the record of issued permits, when this daemon becomes the source or stops being it: those have expired by then.
     void resetPermits();
 
--- a/Libraries/Entry/shared_suspects.cpp
+++ b/Libraries/Entry/shared_suspects.cpp
@@ -51,12 +51,12 @@
     {
         std::vector<request_identity> answered;
         for (const auto &[request, suspect] : table.suspects) {
-            if (!suspect.ends.empty() && concernsAll(suspect) && takeAnswer(answers, request, monotonicNow())) {
+            if (!suspect.ends.empty() && mustBeShared(suspect) && consumeAnswer(answers, request, monotonicNow())) {
                 answered.push_back(request);
             }
         }
         for (const auto &request : answered) {
-            vetchpost::noteAnswered(table, request);
+            vetchpost::clearSuspect(table, request);
         }
     }
 
@@ -66,7 +66,7 @@
     auto change(std::string_view why, const Change &make)
     {
         const auto before = table.refused;
-        const auto droppedBefore = table.dropped;
+        const auto droppedBefore = table.evicted;
         auto result = make();
         clearAnsweredRequests();
         for (const auto &request : table.refused) {
@@ -86,7 +86,7 @@
                 crashLog.writeKept("request_allowed", {{"identity", request.value()}, {"why", why}});
             }
         }
-        dropped.increment(static_cast<double>(table.dropped - droppedBefore));
+        dropped.increment(static_cast<double>(table.evicted - droppedBefore));
         hasAny = !table.suspects.empty();
         return result;
     }
@@ -116,8 +116,8 @@
     d->ends.increment();
     d->change("a replica ended under it here", [&] {
         const auto now = monotonicNow();
-        forgetOld(d->table, now);
-        vetchpost::noteEnd(d->table, request, organisation, end, now);
+        expireEntries(d->table, now);
+        vetchpost::recordReplicaEnd(d->table, request, organisation, end, now);
         return true;
     });
 }
@@ -125,40 +125,40 @@
 void shared_suspects::recordCompletion(const request_identity &request)
 {
     const std::lock_guard lock(d->mutex);
-    noteAnswer(d->answers, request, monotonicNow());
+    recordAnswer(d->answers, request, monotonicNow());
     if (d->table.suspects.contains(request)) {
-        d->change("it was answered whole here", [&] { return vetchpost::noteAnswered(d->table, request); });
+        d->change("it was answered whole here", [&] { return vetchpost::clearSuspect(d->table, request); });
     }
 }
 
 bool shared_suspects::allow(const request_identity &request)
 {
     const std::lock_guard lock(d->mutex);
-    return d->change("an operator allows it", [&] { return vetchpost::noteAnswered(d->table, request); });
+    return d->change("an operator allows it", [&] { return vetchpost::clearSuspect(d->table, request); });
 }
 
-std::vector<crash_evidence> shared_suspects::refused() const
+std::vector<suspect_report> shared_suspects::refused() const
 {
     const std::lock_guard lock(d->mutex);
     const auto now = monotonicNow();
-    std::vector<crash_evidence> result;
+    std::vector<suspect_report> result;
     for (const auto &request : d->table.refused) {
         if (isRefused(d->table, request, now)) {
-            result.push_back(evidenceOf(request, d->table.suspects.at(request), now));
+            result.push_back(makeReport(request, d->table.suspects.at(request), now));
         }
     }
     return result;
 }
 
-void shared_suspects::mergePersisted(const std::vector<crash_evidence> &evidence)
+void shared_suspects::mergePersisted(const std::vector<suspect_report> &evidence)
 {
     const std::lock_guard lock(d->mutex);
     const auto now = monotonicNow();
     d->change("the key-value service keeps it", [&] {
         for (const auto &persisted : evidence) {
-            takeEvidence(d->table, persisted, now);
+            mergeReport(d->table, persisted, now);
         }
-        forgetOld(d->table, now);
+        expireEntries(d->table, now);
         return true;
     });
 }
--- a/Libraries/Entry/shared_suspects.h
+++ b/Libraries/Entry/shared_suspects.h
@@ -31,9 +31,9 @@
     bool allow(const request_identity &request);
 
     /// Returns the refused requests, to be persisted and shown to operators.
-    std::vector<crash_evidence> refused() const;
+    std::vector<suspect_report> refused() const;
     /// Merges refused requests that were persisted in the key-value service.
-    void mergePersisted(const std::vector<crash_evidence> &evidence);
+    void mergePersisted(const std::vector<suspect_report> &evidence);
 
     // Synchronisation with the source and the followers
     /// Returns the batches to send now to the source, if there is one, and to the followers.
--- a/Libraries/Feed/feed_messages.cpp
+++ b/Libraries/Feed/feed_messages.cpp
@@ -139,7 +139,7 @@
     return json;
 }
 
-Json::Value encodeReport(const crash_evidence &report)
+Json::Value encodeReport(const suspect_report &report)
 {
     return encodeSuspectReport(report);
 }
@@ -190,7 +190,7 @@
     return encodeAck(constraintAckKind, message.upTo);
 }
 
-Json::Value encodeBody(const permit_question &message)
+Json::Value encodeBody(const permit_request &message)
 {
     Json::Value json;
     json[kindField] = permitRequestKind;
@@ -200,7 +200,7 @@
     return json;
 }
 
-Json::Value encodeBody(const permit_answer &message)
+Json::Value encodeBody(const permit_response &message)
 {
     Json::Value json;
     json[kindField] = permitResponseKind;
@@ -233,14 +233,14 @@
     if (!report) {
         return std::nullopt;
     }
-    return permit_question{jsonNumber(json, nonceField), static_cast<int>(jsonNumber(json, wantedField)), *report};
+    return permit_request{jsonNumber(json, nonceField), static_cast<int>(jsonNumber(json, wantedField)), *report};
 }
 
-permit_answer decodePermitResponse(const Json::Value &json)
+permit_response decodePermitResponse(const Json::Value &json)
 {
     return {jsonNumber(json, nonceField),
             {instance_id(jsonString(json, replicaField)), replica_life(jsonNumber(json, lifeField))},
-            std::min(mostPermitsAtOnce, static_cast<int>(jsonNumber(json, grantedField))),
+            std::min(maxPermitsPerResponse, static_cast<int>(jsonNumber(json, grantedField))),
             duration(static_cast<std::int64_t>(jsonNumber(json, waitField)))};
 }
 
--- a/Libraries/Feed/feed_messages.h
+++ b/Libraries/Feed/feed_messages.h
@@ -134,8 +134,8 @@
 };
 
 /// Batches of requests under which replicas ended, and their acknowledgements.
-using suspect_batch = sync_batch<crash_evidence>;
-using suspect_ack = sync_ack<crash_evidence>;
+using suspect_batch = sync_batch<suspect_report>;
+using suspect_ack = sync_ack<suspect_report>;
 /// Batches of replicas that named a rate limit or are leaving, and their acknowledgements.
 using constraint_batch = sync_batch<constraint_report>;
 using constraint_ack = sync_ack<constraint_report>;
@@ -150,8 +150,8 @@
                                   suspect_ack,
                                   constraint_batch,
                                   constraint_ack,
-                                  permit_question,
-                                  permit_answer>;
+                                  permit_request,
+                                  permit_response>;
 
 /// Returns the message as the payload of a datagram.
 std::string encodeFeedMessage(const feed_message &message);
--- a/Libraries/Feed/report_codec.cpp
+++ b/Libraries/Feed/report_codec.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-Json::Value encodeSuspectReport(const crash_evidence &report)
+Json::Value encodeSuspectReport(const suspect_report &report)
 {
     Json::Value json;
     json[requestField] = report.request.value();
@@ -33,12 +33,12 @@
     return json;
 }
 
-std::optional<crash_evidence> decodeSuspectReport(const Json::Value &json)
+std::optional<suspect_report> decodeSuspectReport(const Json::Value &json)
 {
     if (!json.isObject()) {
         return std::nullopt;
     }
-    crash_evidence report;
+    suspect_report report;
     report.request = request_identity(jsonString(json, requestField));
     report.organisation = organisation_id(jsonString(json, organisationField));
     report.round = jsonNumber(json, roundField);
@@ -49,7 +49,7 @@
         }
         report.ends.emplace_back(end.asUInt64());
     }
-    const bool isValid = !report.request.isEmpty() && report.age >= duration() && report.ends.size() <= mostEndsKept;
+    const bool isValid = !report.request.isEmpty() && report.age >= duration() && report.ends.size() <= maxEndsPerSuspect;
     return isValid ? std::optional(std::move(report)) : std::nullopt;
 }
 
@@ -77,7 +77,7 @@
     report.isLeaving = jsonFlag(json, leavingField);
     if (json.isMember(limitField)) {
         const auto &limit = json[limitField];
-        if (!limit.isNumeric() || limit.asDouble() < leastRateLimit) {
+        if (!limit.isNumeric() || limit.asDouble() < minRateLimit) {
             return std::nullopt;
         }
         report.rateLimit = limit.asDouble();
--- a/Libraries/Feed/report_codec.h
+++ b/Libraries/Feed/report_codec.h
@@ -11,9 +11,9 @@
 namespace vetchpost {
 
 /// Encodes a report on a suspected request, for datagrams and for the key-value service.
-Json::Value encodeSuspectReport(const crash_evidence &report);
+Json::Value encodeSuspectReport(const suspect_report &report);
 /// Returns the report, or nothing if the value is not a valid one.
-std::optional<crash_evidence> decodeSuspectReport(const Json::Value &json);
+std::optional<suspect_report> decodeSuspectReport(const Json::Value &json);
 
 /// Encodes a report on a replica's constraints, for datagrams.
 Json::Value encodeConstraintReport(const constraint_report &report);
--- a/Libraries/Feed/table_sync.h
+++ b/Libraries/Feed/table_sync.h
@@ -32,8 +32,8 @@
     bool mustRequestAll = false;
 };
 
-/// State of one table's replication with the neighbours. The table's type needs the functions entriesOf(), evidenceOf(), takeEvidence(),
-/// isAsTold() and concernsAll(), and the type of its reports keyOf().
+/// State of one table's replication with the neighbours. The table's type needs the functions entriesOf(), makeReport(), mergeReport(),
+/// matchesReport() and mustBeShared(), and the type of its reports keyOf().
 template <class Table>
 struct table_sync
 {
@@ -57,7 +57,7 @@
     for (const auto &next : entriesOf(table)) {
         const auto received = sync.receivedFrom.find(next.first);
         const bool isItsOwn = received != sync.receivedFrom.end() && received->second == std::pair(neighbour, next.second.changed);
-        if (next.second.changed > acknowledgedUpTo && (isSource || concernsAll(next.second)) && !isItsOwn) {
+        if (next.second.changed > acknowledgedUpTo && (isSource || mustBeShared(next.second)) && !isItsOwn) {
             missing.push_back(&next);
         }
     }
@@ -94,14 +94,14 @@
         neighbour.acknowledgedUpTo = table.changes;
         return std::nullopt;
     }
-    using report = std::decay_t<decltype(evidenceOf(missing.front()->first, missing.front()->second, now))>;
+    using report = std::decay_t<decltype(makeReport(missing.front()->first, missing.front()->second, now))>;
     sync_batch<report> batch{neighbour.mustRequestAll, table.changes, {}};
     if (missing.size() > maxReportsPerDatagram) {
         missing.resize(maxReportsPerDatagram);
         batch.upTo = missing.back()->second.changed;
     }
     for (const auto *entry : missing) {
-        batch.reports.push_back(evidenceOf(entry->first, entry->second, now));
+        batch.reports.push_back(makeReport(entry->first, entry->second, now));
     }
     neighbour.sentUpTo = batch.upTo;
     neighbour.sentAt = now;
@@ -135,8 +135,8 @@
         neighbour->second.sentAt.reset();
     }
     for (const auto &report : batch.reports) {
-        takeEvidence(table, report, now);
-        if (isAsTold(table, report)) {
+        mergeReport(table, report, now);
+        if (matchesReport(table, report)) {
             sync.receivedFrom[keyOf(report)] = {from, entriesOf(table).at(keyOf(report)).changed};
         }
     }
--- a/Libraries/Requests/answer_check.cpp
+++ b/Libraries/Requests/answer_check.cpp
@@ -5,59 +5,59 @@
 
 namespace vetchpost {
 
-piece_verdict takePiece(answer_progress &progress, const answer_piece &piece)
+chunk_verdict checkChunk(answer_progress &progress, const answer_chunk &chunk)
 {
     if (progress.isComplete) {
-        // A byte after the end marker belongs to nobody.
-        return piece_verdict::foreign;
+        // Data after the end marker belongs to no answer.
+        return chunk_verdict::foreign;
     }
-    if (piece.isEndMarker) {
+    if (chunk.isEndMarker) {
         progress.isComplete = progress.isFinished;
-        return progress.isFinished ? piece_verdict::complete : piece_verdict::gap;
+        return progress.isFinished ? chunk_verdict::complete : chunk_verdict::gap;
     }
-    if (piece.request != progress.request) {
-        return piece_verdict::foreign;
+    if (chunk.request != progress.request) {
+        return chunk_verdict::foreign;
     }
-    const bool isOfGroup
-        = progress.group.isEmpty() || piece.group.isEmpty() || (piece.group == progress.group && piece.sender == progress.expected);
-    if (!isOfGroup) {
-        return piece_verdict::foreign;
+    const bool isFromGroup
+        = progress.group.isEmpty() || chunk.group.isEmpty() || (chunk.group == progress.group && chunk.sender == progress.expected);
+    if (!isFromGroup) {
+        return chunk_verdict::foreign;
     }
-    if (piece.index < progress.nextIndex) {
-        return piece_verdict::duplicate;
+    if (chunk.index < progress.nextIndex) {
+        return chunk_verdict::duplicate;
     }
-    if (piece.index > progress.nextIndex || progress.isFinished) {
-        return piece_verdict::gap;
+    if (chunk.index > progress.nextIndex || progress.isFinished) {
+        return chunk_verdict::gap;
     }
     ++progress.nextIndex;
-    progress.isFinished = !piece.finishReason.empty();
-    return piece_verdict::deliver;
+    progress.isFinished = !chunk.finishReason.empty();
+    return chunk_verdict::deliver;
 }
 
-std::optional<answer_piece> answerPieceFrom(const std::string &line)
+std::optional<answer_chunk> answerChunkFrom(const std::string &line)
 {
     constexpr std::string_view prefix = "data: ";
     constexpr std::string_view endMarker = "[DONE]";
     if (!line.starts_with(prefix)) {
         return std::nullopt;
     }
-    answer_piece piece;
+    answer_chunk chunk;
     const auto data = line.substr(prefix.size());
     if (data == endMarker) {
-        piece.isEndMarker = true;
-        return piece;
+        chunk.isEndMarker = true;
+        return chunk;
     }
     const auto json = parseJson(data);
     if (!json) {
-        return piece;
-    }
-    piece.request = request_id(jsonString(*json, "request_id"));
-    piece.group = group_id(jsonString(*json, "group"));
-    piece.sender = generation(jsonNumber(*json, "generation"));
-    piece.index = jsonNumber(*json, "index");
-    piece.text = jsonString(*json, "text");
-    piece.finishReason = jsonString(*json, "finish_reason");
-    return piece;
+        return chunk;
+    }
+    chunk.request = request_id(jsonString(*json, "request_id"));
+    chunk.group = group_id(jsonString(*json, "group"));
+    chunk.sender = generation(jsonNumber(*json, "generation"));
+    chunk.index = jsonNumber(*json, "index");
+    chunk.text = jsonString(*json, "text");
+    chunk.finishReason = jsonString(*json, "finish_reason");
+    return chunk;
 }
 
 } // namespace vetchpost
--- a/Libraries/Requests/answer_check.h
+++ b/Libraries/Requests/answer_check.h
@@ -9,25 +9,25 @@
 
 namespace vetchpost {
 
-/// One line of an engine's streamed answer.
-struct answer_piece
+/// One parsed line of an engine's streamed answer.
+struct answer_chunk
 {
     request_id request;
     group_id group;
     generation sender;
     std::uint64_t index = 0;
     std::string text;
-    /// Why the answer ended: "stop" or "length"; empty while it goes on.
+    /// Why the answer ended: "stop" or "length"; empty while it continues.
     std::string finishReason;
-    /// The end marker after the last piece.
+    /// Whether this is the end marker, which follows the last chunk.
     bool isEndMarker = false;
 };
 
-/// How far an answer has come to its caller.
+/// How much of an answer has been delivered to its client.
 struct answer_progress
 {
     request_id request;
-    /// Where the piece must come from; an empty group accepts any.
+    /// The group that must have sent the chunks; an empty group accepts any sender.
     group_id group;
     generation expected;
     std::uint64_t nextIndex = 0;
@@ -35,23 +35,24 @@
     bool isComplete = false;
 };
 
-enum class piece_verdict {
-    /// The next piece of this answer: to be delivered.
+enum class chunk_verdict {
+    /// The next chunk of this answer, to be delivered.
     deliver,
-    /// Already delivered: to be dropped.
+    /// A chunk that has been delivered already, to be dropped.
     duplicate,
-    /// The end marker after a finished answer.
+    /// The end marker of a finished answer.
     complete,
-    /// Of another request, group or generation: nothing of this connection can be trusted any more.
+    /// A chunk of another request, group or generation; no further data from this connection can be trusted.
     foreign,
-    /// Something is missing before it.
+    /// At least one chunk before this one is missing.
     gap
 };
 
-/// Judges one piece and takes it in.
-piece_verdict takePiece(answer_progress &progress, const answer_piece &piece);
+/// Checks one chunk against the progress of its answer, and updates the progress.
+chunk_verdict checkChunk(answer_progress &progress, const answer_chunk &chunk);
 
-/// Reads one line of an engine's stream. Nothing for blank lines and comments; a line that cannot be read is foreign.
-std::optional<answer_piece> answerPieceFrom(const std::string &line);
+/// Parses one line of an engine's stream. Returns nothing for blank lines and comments. For a malformed line it returns a chunk without
+/// a request id, which checkChunk() reports as foreign.
+std::optional<answer_chunk> answerChunkFrom(const std::string &line);
 
 } // namespace vetchpost
--- a/Libraries/Requests/claim_batcher.cpp
+++ b/Libraries/Requests/claim_batcher.cpp
@@ -12,42 +12,42 @@
     return claim.operation.change == claim_change::claim;
 }
 
-/// A claim whose asker stops waiting is refused for good. It may be in a write whose outcome is not known, so that it is
+/// Refuses the claims whose requests have stopped waiting. A refused claim may be part of a write whose outcome is unknown, so it is
 /// withdrawn as soon as the service answers again.
 std::vector<claim_action> refuseExpired(claim_batcher &batcher, instant now)
 {
     std::vector<claim_action> actions;
     for (auto &claim : batcher.waiting) {
         if (isClaim(claim) && claim.deadline <= now) {
-            actions.push_back(claim_answer{claim.operation.record.owner, std::nullopt, {}});
+            actions.push_back(claim_result{claim.operation.record.owner, std::nullopt, {}});
             claim.operation.change = claim_change::withdraw;
         }
     }
     return actions;
 }
 
-/// Writes everything that waits on top of the known shard.
+/// Applies all waiting operations to the known shard, and returns the write.
 write_shard beginWrite(claim_batcher &batcher, std::int64_t calendarNow)
 {
     batcher.writing = std::move(batcher.waiting);
     batcher.waiting.clear();
-    batcher.answers.clear();
-    batcher.written = *batcher.known;
-    forgetOldClaims(batcher.written, calendarNow);
+    batcher.results.clear();
+    batcher.written = *batcher.knownShard;
+    expireClaims(batcher.written, calendarNow);
     for (const auto &claim : batcher.writing) {
-        claim_answer answer;
-        answer.owner = claim.operation.record.owner;
-        answer.verdict = applyClaim(batcher.written, claim.operation, answer.decidedBy);
+        claim_result claimResult;
+        claimResult.owner = claim.operation.record.owner;
+        claimResult.verdict = applyClaim(batcher.written, claim.operation, claimResult.decidedBy);
         if (isClaim(claim)) {
-            batcher.answers.push_back(std::move(answer));
+            batcher.results.push_back(std::move(claimResult));
         }
     }
-    batcher.isCalling = true;
-    return write_shard{batcher.knownRevision, toText(batcher.written)};
+    batcher.isCallPending = true;
+    return write_shard{batcher.knownShardRevision, toText(batcher.written)};
 }
 
-/// Takes what was being written back to the front of what waits.
-void takeBack(claim_batcher &batcher)
+/// Moves the operations of a failed write back to the front of the waiting ones.
+void requeueWriting(claim_batcher &batcher)
 {
     batcher.writing.insert(batcher.writing.end(), batcher.waiting.begin(), batcher.waiting.end());
     batcher.waiting = std::move(batcher.writing);
@@ -65,11 +65,11 @@
 {
     auto actions = refuseExpired(batcher, now);
     const bool hasWork = !batcher.waiting.empty() || batcher.isInDoubt;
-    if (batcher.isCalling || !hasWork || now < batcher.nextCall) {
+    if (batcher.isCallPending || !hasWork || now < batcher.nextCall) {
         return actions;
     }
-    if (!batcher.known) {
-        batcher.isCalling = true;
+    if (!batcher.knownShard) {
+        batcher.isCallPending = true;
         actions.emplace_back(read_shard{});
         return actions;
     }
@@ -78,31 +78,31 @@
     return actions;
 }
 
-std::vector<claim_action> shardRead(claim_batcher &batcher, const std::optional<key_value_entry> &entry, instant now)
+std::vector<claim_action> onShardRead(claim_batcher &batcher, const std::optional<key_value_entry> &entry, instant now)
 {
-    batcher.isCalling = false;
+    batcher.isCallPending = false;
     auto shard = entry ? claimShardFrom(entry->value) : std::nullopt;
     if (!shard) {
         batcher.nextCall = now + batcher.retryPause;
         return {};
     }
-    batcher.known = std::move(shard);
-    batcher.knownRevision = entry->changed;
+    batcher.knownShard = std::move(shard);
+    batcher.knownShardRevision = entry->changed;
     return {};
 }
 
-std::vector<claim_action> shardWritten(claim_batcher &batcher, const swap_result &result, instant now)
+std::vector<claim_action> onShardWritten(claim_batcher &batcher, const swap_result &result, instant now)
 {
-    batcher.isCalling = false;
+    batcher.isCallPending = false;
     if (result.outcome == swap_outcome::applied) {
-        // The revision has risen: no earlier write of ours can take effect any more.
+        // The revision has increased, so no earlier write of this daemon can be applied any more.
         batcher.isInDoubt = false;
-        batcher.known = std::move(batcher.written);
-        batcher.knownRevision = result.changed;
+        batcher.knownShard = std::move(batcher.written);
+        batcher.knownShardRevision = result.changed;
         batcher.writing.clear();
-        return {batcher.answers.begin(), batcher.answers.end()};
+        return {batcher.results.begin(), batcher.results.end()};
     }
-    takeBack(batcher);
+    requeueWriting(batcher);
     if (result.outcome == swap_outcome::not_sent) {
         batcher.nextCall = now + batcher.retryPause;
         return {};
@@ -111,7 +111,7 @@
         batcher.isInDoubt = true;
         batcher.nextCall = now + batcher.retryPause;
     }
-    batcher.known.reset();
+    batcher.knownShard.reset();
     return {};
 }
 
--- a/Libraries/Requests/claim_batcher.h
+++ b/Libraries/Requests/claim_batcher.h
@@ -8,62 +8,69 @@
 #include <variant>
 #include <vector>
 
-/// Writes the claims of one shard in batches. docs/design/CLAIMS.md.
+/// Writes the claims of one shard to the key-value service in batches; the design is described in docs/design/CLAIMS.md.
 namespace vetchpost {
 
 struct pending_claim
 {
     claim_operation operation;
-    /// When the asker stops waiting; a claim only.
+    /// When the request stops waiting for its claim; set for claims alone.
     instant deadline;
 };
 
-/// The final word on a claim.
-struct claim_answer
+/// The final result of a claim.
+struct claim_result
 {
     request_id owner;
-    /// Nothing: it could not be claimed and will not be, so that the request must not run.
+    /// Nothing if the key could not be claimed and will not be later, so that the request must not run.
     std::optional<claim_verdict> verdict;
-    /// The claim that decided it.
+    /// The record that determined the verdict.
     claim_record decidedBy;
 };
 
+/// An action: read the shard.
 struct read_shard
 {
 };
 
+/// An action: write the shard if its revision is still the expected one.
 struct write_shard
 {
     key_revision expected;
     std::string text;
 };
 
-using claim_action = std::variant<read_shard, write_shard, claim_answer>;
+using claim_action = std::variant<read_shard, write_shard, claim_result>;
 
+/// The state of the batched writes of one shard.
 struct claim_batcher
 {
     unsigned shard = 0;
     duration batchPeriod{50};
     duration retryPause{500};
-    /// The shard as it was last read or written, with its revision; unknown at first and after every doubt.
-    std::optional<claim_shard> known;
-    key_revision knownRevision;
+    /// The shard as it was last read or written, and its revision. Empty initially and after a write whose outcome is unknown.
+    std::optional<claim_shard> knownShard;
+    key_revision knownShardRevision;
     std::vector<pending_claim> waiting;
-    /// What the write under way contains, the shard that it makes, and what the askers are told once it took effect.
+    /// The operations in the pending write, the shard that results from it, and the results to report once it has been applied.
     std::vector<pending_claim> writing;
     claim_shard written;
-    std::vector<claim_answer> answers;
-    /// A write's outcome is not known: until another write of this shard is seen to take effect, it may still come.
+    std::vector<claim_result> results;
+    /// Whether the outcome of a write is unknown: it may still be applied until another write of this shard is known to have been applied.
     bool isInDoubt = false;
-    bool isCalling = false;
+    bool isCallPending = false;
     instant nextCall;
 };
 
-// Commands: each returns what is to be done next.
+// Commands. Those with a result return the actions that the caller performs next.
 
+/// Adds an operation to the next write.
 void addClaim(claim_batcher &batcher, const pending_claim &claim);
+/// Refuses claims whose deadline has passed, and starts the next read or write when it is due.
 std::vector<claim_action> tick(claim_batcher &batcher, instant now, std::int64_t calendarNow);
-std::vector<claim_action> shardRead(claim_batcher &batcher, const std::optional<key_value_entry> &entry, instant now);
-std::vector<claim_action> shardWritten(claim_batcher &batcher, const swap_result &result, instant now);
+/// Handles the result of a read; \a entry is empty if the read failed.
+std::vector<claim_action> onShardRead(claim_batcher &batcher, const std::optional<key_value_entry> &entry, instant now);
+/// Handles the result of a write. Returns the results of its claims if it was applied; otherwise the operations wait for the next write.
+std::vector<claim_action> onShardWritten(claim_batcher &batcher, const swap_result &result, instant now);
 
 } // namespace vetchpost
--- a/Libraries/Requests/claim_shard.cpp
+++ b/Libraries/Requests/claim_shard.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-claim_verdict verdictOn(const claim_record &known, const claim_record &asked)
+claim_verdict verdictOn(const claim_record &known, const claim_record &requested)
 {
-    if (known.owner == asked.owner) {
+    if (known.owner == requested.owner) {
         return claim_verdict::granted;
     }
-    if (known.body != asked.body) {
+    if (known.body != requested.body) {
         return claim_verdict::reused;
     }
     switch (known.state) {
@@ -35,19 +35,19 @@
 
 claim_verdict applyClaim(claim_shard &shard, const claim_operation &operation, claim_record &decidedBy)
 {
-    const auto &asked = operation.record;
+    const auto &requested = operation.record;
     const auto found
-        = std::find_if(shard.claims.begin(), shard.claims.end(), [&](const claim_record &known) { return known.key == asked.key; });
+        = std::find_if(shard.claims.begin(), shard.claims.end(), [&](const claim_record &known) { return known.key == requested.key; });
     if (operation.change == claim_change::claim) {
         if (found == shard.claims.end()) {
-            shard.claims.push_back(asked);
-            decidedBy = asked;
+            shard.claims.push_back(requested);
+            decidedBy = requested;
             return claim_verdict::granted;
         }
         decidedBy = *found;
-        return verdictOn(*found, asked);
+        return verdictOn(*found, requested);
     }
-    if (found == shard.claims.end() || found->owner != asked.owner) {
+    if (found == shard.claims.end() || found->owner != requested.owner) {
         return claim_verdict::granted;
     }
     switch (operation.change) {
@@ -66,9 +66,9 @@
     return claim_verdict::granted;
 }
 
-void forgetOldClaims(claim_shard &shard, std::int64_t calendarNow)
+void expireClaims(claim_shard &shard, std::int64_t calendarNow)
 {
-    std::erase_if(shard.claims, [&](const claim_record &record) { return calendarNow - record.at > claimWindow.count(); });
+    std::erase_if(shard.claims, [&](const claim_record &record) { return calendarNow - record.claimedAt > claimWindow.count(); });
 }
 
 std::string toText(const claim_shard &shard)
@@ -81,7 +81,7 @@
         entry.append(record.owner.value());
         entry.append(record.daemon.value());
         entry.append(static_cast<int>(record.state));
-        entry.append(Json::Int64(record.at));
+        entry.append(Json::Int64(record.claimedAt));
         json.append(entry);
     }
     return toJsonText(json);
--- a/Libraries/Requests/claim_shard.h
+++ b/Libraries/Requests/claim_shard.h
@@ -12,30 +12,30 @@
 namespace vetchpost {
 
 enum class claim_state {
-    /// Its owner may be running it.
+    /// The request may be running.
     claimed,
-    /// It ran to its end.
+    /// The request ran to completion.
     ran,
-    /// It was dispatched and its end is not known.
+    /// The request was dispatched and its outcome is unknown.
     unknown
 };
 
-/// One keyed request that was claimed.
+/// A claim of an idempotency key by one request.
 struct claim_record
 {
-    /// The fingerprint of organisation, deployment and key.
+    /// The fingerprint of organisation, deployment and idempotency key.
     std::string key;
-    /// The fingerprint of the request's body: the same key with another body is a mistake of the caller.
+    /// The fingerprint of the request's body; the same key with another body is an error of the client.
     std::string body;
-    /// The number of this very claim, unique to one request of one daemon.
+    /// The id of the request that made the claim, unique among all requests of all daemons.
     request_id owner;
     daemon_id daemon;
     claim_state state = claim_state::claimed;
-    /// Calendar time in milliseconds.
-    std::int64_t at = 0;
+    /// When the claim was made, as calendar time in milliseconds.
+    std::int64_t claimedAt = 0;
 };
 
-/// The claims of one part of all keys: one value of the key-value service.
+/// The claims of one partition of the keys, stored as one value of the key-value service.
 struct claim_shard
 {
     std::vector<claim_record> claims;
@@ -43,22 +43,22 @@
 
 enum class claim_verdict {
     granted,
-    /// Somebody else holds the claim and may be running it.
+    /// Another request holds the claim and may be running.
     running,
     ran,
     unknown,
-    /// The key was used with another body.
+    /// The key was used with a different body.
     reused
 };
 
 enum class claim_change {
-    /// Take the key.
+    /// Claims the key.
     claim,
-    /// It ran to its end.
+    /// Records that the request ran to completion.
     finish,
-    /// It was dispatched and nobody knows how it ended.
+    /// Records that the request was dispatched and its outcome is unknown.
     abandon,
-    /// It was never dispatched: the key is free again.
+    /// Releases the key of a request that was never dispatched.
     withdraw
 };
 
@@ -68,22 +68,23 @@
     claim_record record;
 };
 
-/// How long a claim is remembered. A key that comes back later runs again: docs/design/CLAIMS.md.
+/// How long a claim is remembered. A request that repeats its key later runs again (docs/design/CLAIMS.md).
 constexpr duration claimWindow(600000);
 
-/// Applies one operation to a shard. Applying it again changes nothing and gives the same verdict. A claim's verdict comes
-/// with the record that decided it.
+/// Applies one operation to a shard. This is idempotent: applying it again changes nothing and returns the same verdict. For a claim,
+/// \a decidedBy is set to the record that determined the verdict.
 claim_verdict applyClaim(claim_shard &shard, const claim_operation &operation, claim_record &decidedBy);
-/// Drops what is older than the window.
-void forgetOldClaims(claim_shard &shard, std::int64_t calendarNow);
+/// Removes claims older than claimWindow.
+void expireClaims(claim_shard &shard, std::int64_t calendarNow);
 
 std::string toText(const claim_shard &shard);
+/// Parses a stored shard; empty text is an empty shard. Returns nothing if the text is malformed.
 std::optional<claim_shard> claimShardFrom(const std::string &text);
 
 constexpr unsigned claimShardCount = 16;
-/// The shard that a key belongs to.
+/// Returns the number of the shard that holds the claim of \a key.
 unsigned shardOf(const std::string &key);
-/// The key of a shard in the key-value service.
+/// Returns the shard's key in the key-value service.
 std::string claimShardKey(unsigned shard);
 
 } // namespace vetchpost
--- a/Libraries/Requests/client_patience.cpp
+++ b/Libraries/Requests/client_patience.cpp
@@ -7,31 +7,31 @@
 
 namespace {
 
-/// Clients may change: what was seen is forgotten after so long without anybody as patient. Longer than the longest deadlines, so that the
-/// clients who come back after an outage are not taken for new ones.
-constexpr duration forgetting(10000);
-constexpr int leastUrgent = 9;
+/// The longest patience is discarded after this time without a client as patient, since clients may change. The time exceeds the longest
+/// deadlines, so that clients who retry after an outage are not taken for new ones.
+constexpr duration patienceLifetime(10000);
+constexpr int lowestPriority = 9;
 
 } // namespace
 
-void notePatience(client_patience &known, duration patience, instant now)
+void recordPatience(client_patience &known, duration patience, instant now)
 {
-    if (patience >= known.longest || now - known.seenAt > forgetting) {
+    if (patience >= known.longest || now - known.seenAt > patienceLifetime) {
         known = {patience, now};
     }
 }
 
-duration waitedBefore(const client_patience &known, duration patience)
+duration priorWait(const client_patience &known, duration patience)
 {
     return std::max(duration(), known.longest - patience);
 }
 
-// The load: all daemons have been away for some seconds, and more clients come back at once than new ones come in a second. Whoever has
-// waited for longer than the objective is late whatever happens; served first come, first served, they make all others late for seconds.
-// Behind the others they are served later, and some of them not in their time.
-int priorityOf(int priority, bool isLate)
+// After an outage of all daemons for some seconds, more clients retry at once than new ones arrive in a second. A client that has waited
+// for longer than the objective is late in any case; served in the order of arrival, these clients would make all others late for seconds.
+// Served behind the others they get their answers later, and some of them miss their deadline.
+int replicaPriority(int priority, bool isLate)
 {
-    return std::min(leastUrgent, priority + (isLate ? 1 : 0));
+    return std::min(lowestPriority, priority + (isLate ? 1 : 0));
 }
 
 } // namespace vetchpost
--- a/Libraries/Requests/client_patience.h
+++ b/Libraries/Requests/client_patience.h
@@ -5,21 +5,23 @@
 
 namespace vetchpost {
 
-/// How long the clients of one route are ready to wait when they come for the first time, learned from what their requests say is left.
+/// The time limit with which the clients of one route send their first attempt, learned from the remaining time that requests carry.
 struct client_patience
 {
-    /// The longest that was seen lately.
+    /// The longest remaining time of a recent request.
     duration longest{};
     instant seenAt;
 };
 
-/// Notes that a request left its replica \a patience.
-void notePatience(client_patience &known, duration patience, instant now);
+/// Records a request whose client waits for another \a patience.
+void recordPatience(client_patience &known, duration patience, instant now);
 
-/// How long a client has waited before it sent a request that leaves \a patience: one that comes back brings what is left of its time.
-duration waitedBefore(const client_patience &known, duration patience);
+/// Estimates how long a client had been waiting when it sent a request with \a patience left: a client that retries sends the rest of its
+/// original time limit.
+duration priorWait(const client_patience &known, duration patience);
 
-/// The priority with which a replica is asked (0 is the most urgent): one step behind where the answer can no longer be in time.
-int priorityOf(int priority, bool isLate);
+/// Returns the priority with which a request is sent to a replica (0 is the most urgent): one step less urgent if its answer can no longer
+/// arrive in time.
+int replicaPriority(int priority, bool isLate);
 
 } // namespace vetchpost
--- a/Libraries/Requests/crash_suspects.cpp
+++ b/Libraries/Requests/crash_suspects.cpp
@@ -9,21 +9,22 @@
 
 namespace {
 
-std::size_t unexplainedEnds(const crash_suspect &suspect, const std::set<replica_end> &explained)
+std::size_t countUnexplainedEnds(const crash_suspect &suspect, const std::set<replica_end> &explained)
 {
     return static_cast<std::size_t>(
         std::count_if(suspect.ends.begin(), suspect.ends.end(), [&](replica_end end) { return !explained.contains(end); }));
 }
 
-// Most of what was at a replica that ended only ran beside the cause, and a queue that moves from replica to replica is beside it again and
-// again. An end needs one cause: what a refused request explains counts against nobody else. The one with the most ends comes first; where
-// two share all of theirs one of them is refused, and if it was the wrong one, the next end tells them apart.
-void decideRefused(crash_suspects &table)
+// Most requests at a replica that terminated only ran beside the cause, and requests that move together from replica to replica run beside
+// it repeatedly. A termination has one cause: if a refused request explains it, it counts against no other. The request with the most
+// terminations is considered first. If two requests share all of theirs, one of them is refused; if that is the wrong one, the next
+// termination separates them.
+void updateRefused(crash_suspects &table)
 {
     using entry = std::pair<const request_identity, crash_suspect>;
     std::vector<const entry *> candidates;
     for (const auto &suspect : table.suspects) {
-        if (suspect.second.ends.size() >= endsBeforeRefusal) {
+        if (suspect.second.ends.size() >= endsForRefusal) {
             candidates.push_back(&suspect);
         }
     }
@@ -33,21 +34,21 @@
     std::set<replica_end> explained;
     table.refused.clear();
     for (const auto *candidate : candidates) {
-        if (unexplainedEnds(candidate->second, explained) >= endsBeforeRefusal) {
+        if (countUnexplainedEnds(candidate->second, explained) >= endsForRefusal) {
             table.refused.insert(candidate->first);
             explained.insert(candidate->second.ends.begin(), candidate->second.ends.end());
         }
     }
 }
 
-void noteChange(crash_suspects &table, crash_suspect &suspect)
+void markChanged(crash_suspects &table, crash_suspect &suspect)
 {
     suspect.changed = ++table.changes;
 }
 
-/// Of the organisation with the most suspects the one with the fewest ends, of these the oldest: a caller with many requests that crash
-/// drives out no other's.
-void dropOne(crash_suspects &table)
+/// Evicts the suspect with the fewest terminations, the oldest of these, of the organisation with the most suspects, so that a client with
+/// many crashing requests does not displace the suspects of others.
+void evictOne(crash_suspects &table)
 {
     std::map<organisation_id, std::size_t> counts;
     for (const auto &[request, suspect] : table.suspects) {
@@ -57,19 +58,19 @@
         = std::max_element(counts.begin(), counts.end(), [](const auto &left, const auto &right) { return left.second < right.second; });
     auto chosen = table.suspects.end();
     for (auto next = table.suspects.begin(); next != table.suspects.end(); ++next) {
-        const auto rank = [](const auto &place) { return std::pair(place->second.ends.size(), place->second.lastEnd); };
+        const auto rank = [](const auto &position) { return std::pair(position->second.ends.size(), position->second.lastEnd); };
         if (next->second.organisation == most->first && (chosen == table.suspects.end() || rank(next) < rank(chosen))) {
             chosen = next;
         }
     }
     table.suspects.erase(chosen);
-    ++table.dropped;
+    ++table.evicted;
 }
 
 crash_suspect &suspectFor(crash_suspects &table, const request_identity &request, const organisation_id &organisation, instant now)
 {
-    if (!table.suspects.contains(request) && table.suspects.size() >= mostSuspects) {
-        dropOne(table);
+    if (!table.suspects.contains(request) && table.suspects.size() >= maxSuspects) {
+        evictOne(table);
     }
     auto [found, isNew] = table.suspects.try_emplace(request);
     if (isNew) {
@@ -81,23 +82,24 @@
 
 } // namespace
 
-replica_end endOf(const std::string &replica, std::uint64_t life)
+replica_end replicaEndOf(const std::string &replica, std::uint64_t life)
 {
     return replica_end(hashOf(replica, life));
 }
 
-void noteEnd(crash_suspects &table, const request_identity &request, const organisation_id &organisation, replica_end end, instant now)
+void recordReplicaEnd(
+    crash_suspects &table, const request_identity &request, const organisation_id &organisation, replica_end end, instant now)
 {
     auto &suspect = suspectFor(table, request, organisation, now);
     suspect.lastEnd = now;
-    if (suspect.ends.size() < mostEndsKept) {
+    if (suspect.ends.size() < maxEndsPerSuspect) {
         suspect.ends.insert(end);
     }
-    noteChange(table, suspect);
-    decideRefused(table);
+    markChanged(table, suspect);
+    updateRefused(table);
 }
 
-bool noteAnswered(crash_suspects &table, const request_identity &request)
+bool clearSuspect(crash_suspects &table, const request_identity &request)
 {
     const auto found = table.suspects.find(request);
     if (found == table.suspects.end() || found->second.ends.empty()) {
@@ -106,45 +108,44 @@
     auto &suspect = found->second;
     ++suspect.round;
     suspect.ends.clear();
-    noteChange(table, suspect);
-    decideRefused(table);
+    markChanged(table, suspect);
+    updateRefused(table);
     return true;
 }
 
-bool takeEvidence(crash_suspects &table, const crash_evidence &evidence, instant now)
+bool mergeReport(crash_suspects &table, const suspect_report &report, instant now)
 {
-    const auto known = table.suspects.find(evidence.request);
-    const bool isOutdated = known != table.suspects.end() && evidence.round < known->second.round;
-    const bool isOld = evidence.age >= suspicionLifetime;
-    if (isOutdated || isOld || evidence.ends.size() > mostEndsKept) {
+    const auto known = table.suspects.find(report.request);
+    const bool isOutdated = known != table.suspects.end() && report.round < known->second.round;
+    const bool isExpired = report.age >= suspectLifetime;
+    if (isOutdated || isExpired || report.ends.size() > maxEndsPerSuspect) {
         return false;
     }
-    auto &suspect = suspectFor(table, evidence.request, evidence.organisation, now - evidence.age);
+    auto &suspect = suspectFor(table, report.request, report.organisation, now - report.age);
     const auto before = std::pair(suspect.ends, suspect.round);
-    if (evidence.round > suspect.round) {
+    if (report.round > suspect.round) {
         suspect.ends.clear();
-        suspect.round = evidence.round;
+        suspect.round = report.round;
     }
-    for (const auto end : evidence.ends) {
-        if (suspect.ends.size() < mostEndsKept) {
+    for (const auto end : report.ends) {
+        if (suspect.ends.size() < maxEndsPerSuspect) {
             suspect.ends.insert(end);
         }
     }
-    suspect.lastEnd = std::max(suspect.lastEnd, now - evidence.age);
-    const bool isNews = known == table.suspects.end() || before != std::pair(suspect.ends, suspect.round);
-    if (isNews) {
-        noteChange(table, suspect);
-        decideRefused(table);
+    suspect.lastEnd = std::max(suspect.lastEnd, now - report.age);
+    const bool hasChanged = known == table.suspects.end() || before != std::pair(suspect.ends, suspect.round);
+    if (hasChanged) {
+        markChanged(table, suspect);
+        updateRefused(table);
     }
-    return isNews;
+    return hasChanged;
 }
 
-void forgetOld(crash_suspects &table, instant now)
+void expireEntries(crash_suspects &table, instant now)
 {
-    const auto forgotten
-        = std::erase_if(table.suspects, [&](const auto &entry) { return now - entry.second.lastEnd >= suspicionLifetime; });
-    if (forgotten > 0) {
-        decideRefused(table);
+    const auto expired = std::erase_if(table.suspects, [&](const auto &entry) { return now - entry.second.lastEnd >= suspectLifetime; });
+    if (expired > 0) {
+        updateRefused(table);
     }
 }
 
@@ -162,21 +163,21 @@
     return refusedFor(table, request, now).has_value();
 }
 
-crash_evidence evidenceOf(const request_identity &request, const crash_suspect &suspect, instant now)
+suspect_report makeReport(const request_identity &request, const crash_suspect &suspect, instant now)
 {
     return {request, suspect.organisation, {suspect.ends.begin(), suspect.ends.end()}, suspect.round, now - suspect.lastEnd};
 }
 
-bool concernsAll(const crash_suspect &suspect)
+bool mustBeShared(const crash_suspect &suspect)
 {
-    return suspect.ends.size() + 1 >= endsBeforeRefusal || suspect.round > 0;
+    return suspect.ends.size() + 1 >= endsForRefusal || suspect.round > 0;
 }
 
-bool isAsTold(const crash_suspects &table, const crash_evidence &evidence)
+bool matchesReport(const crash_suspects &table, const suspect_report &report)
 {
-    const auto known = table.suspects.find(evidence.request);
-    return known != table.suspects.end() && known->second.round == evidence.round
-        && known->second.ends == std::set<replica_end>(evidence.ends.begin(), evidence.ends.end());
+    const auto known = table.suspects.find(report.request);
+    return known != table.suspects.end() && known->second.round == report.round
+        && known->second.ends == std::set<replica_end>(report.ends.begin(), report.ends.end());
 }
 
 } // namespace vetchpost
--- a/Libraries/Requests/fair_queue.cpp
+++ b/Libraries/Requests/fair_queue.cpp
@@ -8,19 +8,19 @@
 namespace {
 
 constexpr duration rateWindow(1000);
-constexpr double newestShare = 0.5;
+constexpr double smoothingFactor = 0.5;
 constexpr double millisecondsPerSecond = 1000;
 
-void noteDrained(fair_queue &queue, double cost, instant now)
+void recordDrained(fair_queue &queue, double cost, instant now)
 {
     queue.drained += cost;
-    const auto window = now - queue.drainSince;
+    const auto window = now - queue.drainWindowStart;
     if (window < rateWindow) {
         return;
     }
     const auto rate = queue.drained * millisecondsPerSecond / static_cast<double>(window.count());
-    queue.drainRate = queue.drainRate == 0 ? rate : newestShare * rate + (1 - newestShare) * queue.drainRate;
-    queue.drainSince = now;
+    queue.drainRate = queue.drainRate == 0 ? rate : smoothingFactor * rate + (1 - smoothingFactor) * queue.drainRate;
+    queue.drainWindowStart = now;
     queue.drained = 0;
 }
 
@@ -35,17 +35,17 @@
     return next;
 }
 
-void noteAsked(fair_queue::priority_level &level, double cost, instant now)
+void recordDemand(fair_queue::priority_level &level, double cost, instant now)
 {
-    level.asked += cost;
-    const auto window = now - level.askedSince;
+    level.demand += cost;
+    const auto window = now - level.demandWindowStart;
     if (window < rateWindow) {
         return;
     }
-    const auto rate = level.asked * millisecondsPerSecond / static_cast<double>(window.count());
-    level.askedRate = newestShare * rate + (1 - newestShare) * level.askedRate;
-    level.askedSince = now;
-    level.asked = 0;
+    const auto rate = level.demand * millisecondsPerSecond / static_cast<double>(window.count());
+    level.demandRate = smoothingFactor * rate + (1 - smoothingFactor) * level.demandRate;
+    level.demandWindowStart = now;
+    level.demand = 0;
 }
 
 } // namespace
@@ -53,13 +53,13 @@
 bool enqueue(fair_queue &queue, const queued_request &request)
 {
     auto &level = queue.levels[request.priority];
-    noteAsked(level, request.cost, request.arrived);
-    if (queue.length >= queue.limits.longest) {
+    recordDemand(level, request.cost, request.arrived);
+    if (queue.length >= queue.limits.maxLength) {
         return false;
     }
     if (queue.length == 0) {
-        // The rate is measured only while something waits: else it is the callers' and not the replicas'.
-        queue.drainSince = request.arrived;
+        // The rate is measured only while requests wait; otherwise it would be the clients' rate instead of the replicas'.
+        queue.drainWindowStart = request.arrived;
         queue.drained = 0;
     }
     auto &flow = level.flows[request.organisation];
@@ -78,13 +78,13 @@
         if (flow == nullptr) {
             continue;
         }
-        const auto taken = flow->waiting.front();
+        const auto dequeued = flow->waiting.front();
         flow->waiting.pop_front();
         --queue.length;
         level.virtualTime = std::max(level.virtualTime, flow->startTag);
-        flow->startTag += taken.cost / taken.weight;
-        noteDrained(queue, taken.cost, now);
-        return taken;
+        flow->startTag += dequeued.cost / dequeued.weight;
+        recordDrained(queue, dequeued.cost, now);
+        return dequeued;
     }
     return std::nullopt;
 }
@@ -136,16 +136,16 @@
 double reservedShare(const fair_queue &queue, int priority)
 {
     constexpr double headroom = 1.5;
-    constexpr double most = 0.3;
-    double above = 0;
+    constexpr double maxShare = 0.3;
+    double higherDemand = 0;
     double total = 0;
     for (const auto &[levelPriority, level] : queue.levels) {
-        total += level.askedRate;
-        above += levelPriority > priority ? level.askedRate : 0;
+        total += level.demandRate;
+        higherDemand += levelPriority > priority ? level.demandRate : 0;
     }
-    // Above what is served, more asking of the lower priorities does not make the share of the higher ones smaller.
+    // The total is limited to the served rate, so that excess demand of lower priorities does not reduce the share of higher ones.
     const auto served = queue.drainRate > 0 ? std::min(total, queue.drainRate) : total;
-    return served <= 0 ? 0 : std::min(most, headroom * above / served);
+    return served <= 0 ? 0 : std::min(maxShare, headroom * higherDemand / served);
 }
 
 std::optional<duration> expectedWait(const fair_queue &queue, const queued_request &request)
@@ -173,7 +173,7 @@
                 totalWeight += flow.waiting.front().weight;
             }
         }
-        // Within its own priority an organisation's work goes through at its weight's share, never slower than all of it.
+        // Within its priority an organisation is served at its weight's share, and no later than after all requests of the priority.
         ahead += priority == request.priority ? std::min(total + request.cost, own * totalWeight / request.weight) : total;
     }
     return duration(static_cast<std::int64_t>(ahead / queue.drainRate * millisecondsPerSecond));
--- a/Libraries/Requests/fair_queue.h
+++ b/Libraries/Requests/fair_queue.h
@@ -12,14 +12,14 @@
 
 namespace vetchpost {
 
-/// One waiting request.
+/// A request that waits for a slot.
 struct queued_request
 {
     std::uint64_t ticket = 0;
     organisation_id organisation;
     int priority = 0;
     double weight = 1;
-    /// The tokens that it is expected to cost, prompt and answer.
+    /// Expected cost in tokens, of prompt and answer together.
     double cost = 1;
     instant arrived;
     instant deadline;
@@ -27,19 +27,19 @@
 
 struct fair_queue_limits
 {
-    std::size_t longest = 1000;
+    std::size_t maxLength = 1000;
 };
 
-/// Requests that wait for a place at a deployment: strictly by priority, and within one priority by start-time fair
+/// Requests that wait for a slot at a deployment. They are served strictly by priority, and within one priority by start-time fair
 /// queueing, so that each organisation gets tokens in proportion to its weight.
 struct fair_queue
 {
-    /// One organisation at one priority, with its requests in the order of arrival. Only what is served is charged: a request
-    /// that expires or gives up leaves the tags as they were.
+    /// The requests of one organisation at one priority, in the order of arrival. Only served requests are charged: one that expires or is
+    /// cancelled leaves the tags unchanged.
     struct flow
     {
         std::list<queued_request> waiting;
-        /// The start tag of the first one that waits; where none waits, the finish tag of the last one that was served.
+        /// The start tag of the first waiting request; if none waits, the finish tag of the last one served.
         double startTag = 0;
     };
 
@@ -47,40 +47,41 @@
     {
         std::map<organisation_id, flow> flows;
         double virtualTime = 0;
-        /// Tokens a second that were asked for lately.
-        double askedRate = 0;
-        double asked = 0;
-        instant askedSince;
+        /// Smoothed demand in tokens per second.
+        double demandRate = 0;
+        double demand = 0;
+        instant demandWindowStart;
     };
 
     fair_queue_limits limits;
-    /// The highest priority first.
+    /// Sorted from the highest priority to the lowest.
     std::map<int, priority_level, std::greater<>> levels;
     std::size_t length = 0;
-    /// Tokens a second that left the queue lately; 0 while nothing is known.
+    /// Smoothed rate in tokens per second at which requests leave the queue; 0 while unknown.
     double drainRate = 0;
-    instant drainSince;
+    instant drainWindowStart;
     double drained = 0;
 };
 
 // Commands.
 
-/// Puts a request in; false where the queue is full.
+/// Adds a request. Returns false if the queue is full.
 bool enqueue(fair_queue &queue, const queued_request &request);
-/// Takes out the request whose turn it is; nothing where none waits.
+/// Removes and returns the next request, or nothing if none waits.
 std::optional<queued_request> dequeue(fair_queue &queue, instant now);
-/// Takes out every request whose deadline has passed.
+/// Removes and returns every request whose deadline has passed.
 std::vector<queued_request> removeExpired(fair_queue &queue, instant now);
-/// Takes out one request that gave up; false where it does not wait.
+/// Removes one cancelled request. Returns false if it does not wait.
 bool removeTicket(fair_queue &queue, std::uint64_t ticket);
 
 // Queries.
 
-/// The priority of the request whose turn is next; nothing where none waits.
+/// Returns the priority of the next request, or nothing if none waits.
 std::optional<int> nextPriority(const fair_queue &queue);
-/// The share of all places that is kept free of requests of this priority, since those above it will want them.
+/// Returns the share of all slots, from 0 to 1, that is kept free of requests of this priority because higher priorities will need it.
 double reservedShare(const fair_queue &queue, int priority);
-/// How long a request of this priority and cost would wait, from what left the queue lately; nothing while unknown.
+/// Estimates how long a request of this priority and cost would wait, from the rate at which requests leave the queue. Returns nothing
+/// while that rate is unknown.
 std::optional<duration> expectedWait(const fair_queue &queue, const queued_request &request);
 
 } // namespace vetchpost
--- a/Libraries/Requests/limit_split.cpp
+++ b/Libraries/Requests/limit_split.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// Of the limit, the part that is always split evenly, so that a daemon whose callers have just come is not shut.
-constexpr double evenPart = 0.1;
-/// The paper's alpha; its experiments use 2.
+/// The share of the limit that is always split evenly, so that a daemon whose clients have just connected is not blocked.
+constexpr double evenShare = 0.1;
+/// Alpha in the paper, whose experiments use 2.
 constexpr double fairness = 2;
 
 } // namespace
@@ -27,12 +27,12 @@
     const auto total = std::accumulate(parts.begin(), parts.end(), 0.0);
     for (auto &part : parts) {
         const auto share = total > 0 ? part / total : 1 / count;
-        part = limit * (evenPart / count + (1 - evenPart) * share);
+        part = limit * (evenShare / count + (1 - evenShare) * share);
     }
     return parts;
 }
 
-bool takeTokens(token_bucket &bucket, double tokens, std::int64_t nowMilliseconds)
+bool consumeTokens(token_bucket &bucket, double tokens, std::int64_t nowMilliseconds)
 {
     constexpr double millisecondsPerSecond = 1000;
     const auto gained = bucket.rate * static_cast<double>(nowMilliseconds - bucket.filledAt) / millisecondsPerSecond;
--- a/Libraries/Requests/limit_split.h
+++ b/Libraries/Requests/limit_split.h
@@ -6,26 +6,26 @@
 
 namespace vetchpost {
 
-/// How one daemon's part of an organisation's limit is found.
+/// The rule by which an organisation's limit is split between daemons.
 enum class limit_split {
     equal,
     by_demand,
-    /// By demand and weight: equation 9 of Chen, Yu, Li: "Clockwork: Scheduling Cloud Requests in Mobile Applications".
+    /// By demand and weight, as in equation 9 of Chen, Yu, Li: "Clockwork: Scheduling Cloud Requests in Mobile Applications".
     weighted
 };
 
-/// What one daemon was asked for by one organisation of late.
+/// The recent demand of one organisation at one daemon.
 struct daemon_demand
 {
     double tokensPerSecond = 0;
-    /// The urgency of that demand, as the paper's weight; 1 for the usual.
+    /// The urgency of the demand (the weight in the paper); normally 1.
     double weight = 1;
 };
 
-/// Splits \a limit between daemons; the sum is the limit.
+/// Splits \a limit between daemons. Returns one part for each demand; their sum is the limit.
 std::vector<double> splitLimit(double limit, const std::vector<daemon_demand> &demands, limit_split rule);
 
-/// A limit that lets tokens through as they come in, with a burst of one second.
+/// A token bucket whose capacity is one second of its rate. The rate is in tokens per second.
 struct token_bucket
 {
     double rate = 0;
@@ -33,7 +33,7 @@
     std::int64_t filledAt = 0;
 };
 
-/// Takes \a tokens out of the bucket where any are left, going below zero once; false where none are.
-bool takeTokens(token_bucket &bucket, double tokens, std::int64_t nowMilliseconds);
+/// Consumes \a tokens if the bucket is not empty, even if that leaves it negative. Returns false, and consumes nothing, if it is empty.
+bool consumeTokens(token_bucket &bucket, double tokens, std::int64_t nowMilliseconds);
 
 } // namespace vetchpost
--- a/Libraries/Requests/load_shedding.cpp
+++ b/Libraries/Requests/load_shedding.cpp
@@ -7,56 +7,56 @@
 
 namespace {
 
-constexpr duration lookPeriod(500);
-/// Fewer first events than this say little.
-constexpr int leastEvents = 4;
-/// What was learned is forgotten after so long without a first event.
-constexpr duration forgetting(3000);
-/// From this part of late first events on there is a queue everywhere, not at some groups.
-constexpr double lateShareOfOverload = 0.6;
-constexpr double lateShareOfCalm = 0.3;
-constexpr double stepDown = 0.15;
-constexpr double stepUp = 0.05;
-constexpr double leastShare = 0.65;
-/// Of a first event in the smoothed part of late ones: a daemon among many hears a few a second of a model.
+constexpr duration evaluationPeriod(500);
+/// Number of first events that an evaluation needs.
+constexpr int minEvents = 4;
+/// The state is reset after this time without an evaluation.
+constexpr duration resetTime(3000);
+/// Above this share of late first events all groups have a queue, not only some of them.
+constexpr double overloadLateShare = 0.6;
+constexpr double recoveryLateShare = 0.3;
+constexpr double shareDecrease = 0.15;
+constexpr double shareIncrease = 0.05;
+constexpr double minShare = 0.65;
+/// The weight of one first event in the smoothed lateness. One of many daemons sees a few first events of a model per second.
 constexpr double newestWeight = 0.06;
-/// A few in a hundred are late on calm days too, where groups lose members one after the other.
-constexpr double mostLateInCalm = 0.1;
+/// A few percent are late under normal load as well, because groups lose members.
+constexpr double spareCapacityLateShare = 0.1;
 
 } // namespace
 
-// Engines serve as much with a queue as without one: the queue that a burst has left is kept up by what comes, and all are late. To refuse
-// a little more than the excess for some seconds serves the rest in time.
-void noteFirstEvent(load_shedding &state, bool isLate, instant now)
+// Engines have the same throughput with a queue as without one, so that the queue left by a burst persists under the normal load and makes
+// all requests late. Refusing slightly more than the excess for some seconds lets the rest be served in time.
+void recordFirstEvent(load_shedding &state, bool isLate, instant now)
 {
-    if (now - state.lookedAt > forgetting) {
+    if (now - state.evaluatedAt > resetTime) {
         state = {1, 0, 0, now, state.lateness};
     }
     state.lateness += newestWeight * ((isLate ? 1.0 : 0.0) - state.lateness);
     ++(isLate ? state.late : state.inTime);
     const auto events = state.late + state.inTime;
-    if (now - state.lookedAt < lookPeriod || events < leastEvents) {
+    if (now - state.evaluatedAt < evaluationPeriod || events < minEvents) {
         return;
     }
     const auto lateShare = static_cast<double>(state.late) / events;
-    if (lateShare > lateShareOfOverload) {
-        state.share = std::max(leastShare, state.share - stepDown);
-    } else if (lateShare < lateShareOfCalm) {
-        state.share = std::min(1.0, state.share + stepUp);
+    if (lateShare > overloadLateShare) {
+        state.admittedShare = std::max(minShare, state.admittedShare - shareDecrease);
+    } else if (lateShare < recoveryLateShare) {
+        state.admittedShare = std::min(1.0, state.admittedShare + shareIncrease);
     }
     state.inTime = 0;
     state.late = 0;
-    state.lookedAt = now;
+    state.evaluatedAt = now;
 }
 
-bool isCalm(const load_shedding &state)
+bool hasSpareCapacity(const load_shedding &state)
 {
-    return state.lateness < mostLateInCalm;
+    return state.lateness < spareCapacityLateShare;
 }
 
 bool isAdmitted(const load_shedding &state, double draw, instant now)
 {
-    return draw < state.share || now - state.lookedAt > forgetting;
+    return draw < state.admittedShare || now - state.evaluatedAt > resetTime;
 }
 
 } // namespace vetchpost
--- a/Libraries/Requests/load_shedding.h
+++ b/Libraries/Requests/load_shedding.h
@@ -5,25 +5,25 @@
 
 namespace vetchpost {
 
-/// Which part of the requests for one model a daemon takes on while most first events come late: a queue that stands makes every answer
-/// late, and it goes only when less comes than is served.
+/// Load shedding for one model: the share of requests that a daemon admits while most first events are late. A standing queue makes every
+/// answer late, and it drains only if fewer requests arrive than are served.
 struct load_shedding
 {
-    /// Of the requests, the part that is taken on.
-    double share = 1;
-    /// First events in time and late, since the last look.
+    /// The share of requests to admit, from 0 to 1.
+    double admittedShare = 1;
+    /// Number of first events in time and late since the last evaluation.
     int inTime = 0;
     int late = 0;
-    instant lookedAt;
-    /// The part of first events that were late, smoothed over about the last sixteen.
+    instant evaluatedAt;
+    /// The share of late first events, smoothed over about the last sixteen.
     double lateness = 0;
 };
 
-/// Notes a first event, and changes the share once enough are known.
-void noteFirstEvent(load_shedding &state, bool isLate, instant now);
-/// Whether few first events are late: then every place has room.
-bool isCalm(const load_shedding &state);
-/// Whether to take on a request; \a draw is from 0 to 1. With nothing heard for a while all are taken on.
+/// Records a request's first event, and adjusts the share once enough events have been recorded.
+void recordFirstEvent(load_shedding &state, bool isLate, instant now);
+/// Returns whether few first events are late, which means that every replica has spare capacity.
+bool hasSpareCapacity(const load_shedding &state);
+/// Returns whether to admit a request, given a random number \a draw from 0 to 1. Without a recent first event all are admitted.
 bool isAdmitted(const load_shedding &state, double draw, instant now);
 
 } // namespace vetchpost
--- a/Libraries/Requests/rate_permits.cpp
+++ b/Libraries/Requests/rate_permits.cpp
@@ -8,20 +8,20 @@
 
 namespace {
 
-/// Seconds of the limit that a bucket holds at most, for demand that comes in bursts.
+/// Capacity of a bucket in seconds of the limit, for bursty demand.
 constexpr double burstSeconds = 0.25;
-/// A daemon counts among those that share a limit for so long after its last question.
-constexpr duration askerLifetime(2000);
-constexpr duration leastWait(5);
-/// A daemon that is told to wait asks again after this time at the latest: the limit may have changed.
-constexpr duration longestWaitForPermit(5000);
+/// A daemon is counted among those that share a limit for this long after its last permit request.
+constexpr duration requesterLifetime(2000);
+constexpr duration minWait(5);
+/// The longest time that a daemon waits before it requests permits again; the limit may have changed.
+constexpr duration maxPermitWait(5000);
 
 double capacityOf(double perSecond)
 {
     return std::max(1.0, perSecond * burstSeconds);
 }
 
-void fill(permit_bucket &bucket, double perSecond, instant now)
+void refill(permit_bucket &bucket, double perSecond, instant now)
 {
     if (bucket.filledAt != instant()) {
         bucket.available += bucket.perSecond * secondsOf(now - bucket.filledAt);
@@ -31,14 +31,14 @@
     bucket.available = std::min(bucket.available, capacityOf(perSecond));
 }
 
-/// Those who wait share what comes: each is told a time by which the others before it have had theirs.
+/// Returns how long a daemon should wait for a permit: long enough for the other waiting daemons before it to get theirs.
 duration waitOf(const permit_bucket &bucket)
 {
     const auto missing = std::max(0.0, 1 - bucket.available);
-    const auto others = static_cast<double>(bucket.askers.size()) - 1;
+    const auto others = static_cast<double>(bucket.requesters.size()) - 1;
     const auto seconds = (missing + others / 2) / bucket.perSecond;
-    const auto wait = duration(static_cast<std::int64_t>(std::ceil(std::min(seconds, secondsOf(longestWaitForPermit)) * 1000)));
-    return std::clamp(wait, leastWait, longestWaitForPermit);
+    const auto wait = duration(static_cast<std::int64_t>(std::ceil(std::min(seconds, secondsOf(maxPermitWait)) * 1000)));
+    return std::clamp(wait, minWait, maxPermitWait);
 }
 
 template <class Entries>
@@ -52,95 +52,96 @@
 
 } // namespace
 
-// In any span of T seconds a bucket issues limit x T + its capacity at most. A permit may be used up to a second after it was issued and a
-// connection takes up to a quarter: in four seconds a replica gets limit x 5.5 + 1 at most, which is less than the limit x 6 + 5 allowed.
-permit_answer issuePermits(permit_issuer &issuer, const permit_question &question, double perSecond, const endpoint &asker, instant now)
+// Within T seconds a bucket issues at most limit x T + its capacity. A permit may be used up to one second after it was issued, and
+// connecting takes up to a quarter of a second: within four seconds a replica receives at most limit x 5.5 + 1 requests, fewer than the
+// allowed limit x 6 + 5.
+permit_response issuePermits(permit_issuer &issuer, const permit_request &request, double perSecond, const endpoint &requester, instant now)
 {
-    auto &bucket = issuer.buckets[question.report.replica];
-    fill(bucket, perSecond, now);
-    std::erase_if(bucket.askers, [&](const auto &entry) { return now - entry.second >= askerLifetime; });
-    bucket.askers[asker] = now;
-    const auto wanted = std::clamp(question.wanted, 1, mostPermitsAtOnce);
+    auto &bucket = issuer.buckets[request.report.replica];
+    refill(bucket, perSecond, now);
+    std::erase_if(bucket.requesters, [&](const auto &entry) { return now - entry.second >= requesterLifetime; });
+    bucket.requesters[requester] = now;
+    const auto wanted = std::clamp(request.wanted, 1, maxPermitsPerResponse);
     const auto granted = std::min(wanted, static_cast<int>(bucket.available));
     bucket.available -= granted;
-    return {question.nonce, question.report.replica, granted, granted < wanted ? waitOf(bucket) : duration()};
+    return {request.nonce, request.report.replica, granted, granted < wanted ? waitOf(bucket) : duration()};
 }
 
-permit_answer
-answerQuestion(permit_issuer &issuer, replica_constraints &table, const permit_question &question, const endpoint &asker, instant now)
+permit_response answerPermitRequest(
+    permit_issuer &issuer, replica_constraints &table, const permit_request &request, const endpoint &requester, instant now)
 {
-    takeEvidence(table, question.report, now);
-    const auto *known = findConstraint(table, question.report.replica);
-    // Where the table holds a later word that there is no limit, the asker will hear of it; until then its own word counts.
-    const auto limit = known != nullptr && known->rateLimit ? known->rateLimit : question.report.rateLimit;
-    return issuePermits(issuer, question, limit.value_or(leastRateLimit), asker, now);
+    mergeReport(table, request.report, now);
+    const auto *known = findConstraint(table, request.report.replica);
+    // If the table has a later report that there is no limit, the requesting daemon will receive it; until then its own report applies.
+    const auto limit = known != nullptr && known->rateLimit ? known->rateLimit : request.report.rateLimit;
+    return issuePermits(issuer, request, limit.value_or(minRateLimit), requester, now);
 }
 
-bool hasPermit(const permit_wallet &wallet, const replica_key &replica, instant now)
+bool hasPermit(const permit_holder &holder, const replica_key &replica, instant now)
 {
-    const auto found = wallet.held.find(replica);
-    return found != wallet.held.end() && found->second.count > 0 && now < found->second.validUntil;
+    const auto found = holder.held.find(replica);
+    return found != holder.held.end() && found->second.count > 0 && now < found->second.validUntil;
 }
 
-bool takePermit(permit_wallet &wallet, const replica_key &replica, instant now)
+bool consumePermit(permit_holder &holder, const replica_key &replica, instant now)
 {
-    if (!hasPermit(wallet, replica, now)) {
+    if (!hasPermit(holder, replica, now)) {
         return false;
     }
-    --wallet.held.at(replica).count;
+    --holder.held.at(replica).count;
     return true;
 }
 
-std::optional<permit_question> wantPermit(permit_wallet &wallet, const replica_key &replica, instant now)
+std::optional<permit_request> nextPermitRequest(permit_holder &holder, const replica_key &replica, instant now)
 {
-    auto &held = wallet.held[replica];
-    held.wanted = std::min(held.wanted + 1, mostPermitsAtOnce);
-    const bool isUnderWay = held.asked && now - held.askedAt < permitQuestionTimeout;
-    if (isUnderWay || now < held.nextQuestion) {
+    auto &held = holder.held[replica];
+    held.wanted = std::min(held.wanted + 1, maxPermitsPerResponse);
+    const bool isPending = held.pendingNonce && now - held.requestedAt < permitRequestTimeout;
+    if (isPending || now < held.nextRequestAt) {
         return std::nullopt;
     }
-    permit_question question{++wallet.lastNonce, std::exchange(held.wanted, 0), {replica, std::nullopt, {}, false}};
-    held.asked = question.nonce;
-    held.askedAt = now;
-    return question;
+    permit_request request{++holder.lastNonce, std::exchange(held.wanted, 0), {replica, std::nullopt, {}, false}};
+    held.pendingNonce = request.nonce;
+    held.requestedAt = now;
+    return request;
 }
 
-// A permit counts from the question: an answer that lay unread while the daemon was suspended brings nothing.
-bool takeAnswer(permit_wallet &wallet, const permit_answer &answer, instant now)
+// A permit's lifetime begins with the request, so that a response that was read late because the daemon was suspended grants nothing.
+bool acceptResponse(permit_holder &holder, const permit_response &response, instant now)
 {
-    const auto found = wallet.held.find(answer.replica);
-    if (found == wallet.held.end() || found->second.asked != answer.nonce) {
+    const auto found = holder.held.find(response.replica);
+    if (found == holder.held.end() || found->second.pendingNonce != response.nonce) {
         return false;
     }
     auto &held = found->second;
-    const auto until = held.askedAt + permitLifetime;
+    const auto until = held.requestedAt + permitLifetime;
     if (held.count > 0 && now < held.validUntil) {
-        // The earlier permits end first: the shorter time holds for all.
+        // The earlier permits expire first; the shorter time is applied to all.
         held.validUntil = std::min(held.validUntil, until);
-        held.count += answer.granted;
+        held.count += response.granted;
     } else {
         held.validUntil = until;
-        held.count = answer.granted;
+        held.count = response.granted;
     }
-    held.nextQuestion = now + std::clamp(answer.wait, duration(), longestWaitForPermit);
-    held.asked.reset();
+    held.nextRequestAt = now + std::clamp(response.wait, duration(), maxPermitWait);
+    held.pendingNonce.reset();
     return true;
 }
 
-instant permitExpectedAt(const permit_wallet &wallet, const replica_key &replica, instant now)
+instant permitExpectedAt(const permit_holder &holder, const replica_key &replica, instant now)
 {
-    const auto found = wallet.held.find(replica);
-    return found == wallet.held.end() ? now : std::max(now, found->second.nextQuestion);
+    const auto found = holder.held.find(replica);
+    return found == holder.held.end() ? now : std::max(now, found->second.nextRequestAt);
 }
 
-void keepLimited(permit_issuer &issuer, const replica_constraints &table)
+void removeUnlimited(permit_issuer &issuer, const replica_constraints &table)
 {
     eraseUnlimited(issuer.buckets, table);
 }
 
-void keepLimited(permit_wallet &wallet, const replica_constraints &table)
+void removeUnlimited(permit_holder &holder, const replica_constraints &table)
 {
-    eraseUnlimited(wallet.held, table);
+    eraseUnlimited(holder.held, table);
 }
 
 } // namespace vetchpost
--- a/Libraries/Requests/recent_answers.cpp
+++ b/Libraries/Requests/recent_answers.cpp
@@ -3,11 +3,11 @@
 
 namespace vetchpost {
 
-void noteAnswer(recent_answers &answers, const request_identity &request, instant now)
+void recordAnswer(recent_answers &answers, const request_identity &request, instant now)
 {
     answers.times[request] = now;
     answers.order.emplace_back(now, request);
-    while (answers.order.size() > mostAnswersKept) {
+    while (answers.order.size() > maxRecentAnswers) {
         const auto &[when, oldest] = answers.order.front();
         const auto known = answers.times.find(oldest);
         if (known != answers.times.end() && known->second <= when) {
@@ -17,13 +17,13 @@
     }
 }
 
-bool takeAnswer(recent_answers &answers, const request_identity &request, instant now)
+bool consumeAnswer(recent_answers &answers, const request_identity &request, instant now)
 {
     const auto known = answers.times.find(request);
     if (known == answers.times.end()) {
         return false;
     }
-    const bool isRecent = now - known->second < answerMemory;
+    const bool isRecent = now - known->second < recentAnswerLifetime;
     answers.times.erase(known);
     return isRecent;
 }
--- a/Libraries/Requests/recent_answers.h
+++ b/Libraries/Requests/recent_answers.h
@@ -9,22 +9,23 @@
 
 namespace vetchpost {
 
-/// An answer speaks for a request for so long. Longer than a loss of many replicas at one moment takes to be noticed.
-constexpr duration answerMemory(30000);
-/// Some 130 bytes each; at this many a daemon that answers 30 requests a second remembers 30 seconds.
-constexpr std::size_t mostAnswersKept = 1024;
+/// How long a complete answer clears its request of suspicion. It is longer than the detection of a simultaneous loss of many replicas
+/// takes.
+constexpr duration recentAnswerLifetime(30000);
+/// At about 130 bytes each; with this many a daemon that answers 30 requests per second remembers 30 seconds.
+constexpr std::size_t maxRecentAnswers = 1024;
 
-/// Which requests were answered whole lately. Where many callers send the same request, replicas that are lost for another reason end under
-/// it all at one moment, and it must not be refused for that.
+/// Requests that were answered completely within recentAnswerLifetime. If many clients send the same request, then several replicas that
+/// terminate at the same moment for another reason all have that request, which must not be refused for it.
 struct recent_answers
 {
     std::map<request_identity, instant> times;
-    /// In the order of their answers; an entry that was answered again stands here twice.
+    /// In the order of the answers; a request that was answered again is listed twice.
     std::deque<std::pair<instant, request_identity>> order;
 };
 
-void noteAnswer(recent_answers &answers, const request_identity &request, instant now);
-/// Whether the request was answered lately. Each answer speaks once: the next time there must have been another.
-bool takeAnswer(recent_answers &answers, const request_identity &request, instant now);
+void recordAnswer(recent_answers &answers, const request_identity &request, instant now);
+/// Returns whether the request was answered recently, and removes the answer: each one clears the request once.
+bool consumeAnswer(recent_answers &answers, const request_identity &request, instant now);
 
 } // namespace vetchpost
--- a/Libraries/Requests/recovery.h
+++ b/Libraries/Requests/recovery.h
@@ -8,46 +8,47 @@
 
 namespace vetchpost {
 
-/// How one try of a request ended without its whole answer.
-enum class try_failure {
-    /// No byte of it left.
+/// How one attempt of a request ended without a complete answer.
+enum class attempt_failure {
+    /// Nothing was sent.
     not_sent,
-    /// The backend server said itself that it did not run.
+    /// The backend server reported that it did not run the request.
     refused,
-    /// It was sent; nothing came back.
+    /// The request was sent, and no answer was received.
     no_answer,
-    /// The answer broke off.
+    /// The answer ended before it was complete.
     broke_off,
-    /// The answer was another's, or had a gap.
+    /// The answer belonged to another request, or parts of it were missing.
     foreign,
-    /// The backend server answered that it failed while it ran.
+    /// The backend server reported that the request failed while it ran.
     failed
 };
 
-/// What is known of a request between two tries.
+/// The state of a request between two attempts.
 struct request_progress
 {
-    /// It may run more than once.
+    /// Whether the request may run more than once.
     bool isRepeatable = true;
-    /// The engine can take up a stream that it still has.
+    /// Whether the engine can resume a stream that it still has.
     bool isResumable = false;
-    /// Some try may have run.
+    /// Whether any attempt may have run.
     bool mayHaveRun = false;
-    int tries = 0;
-    /// Resumptions since the last one that brought a token.
+    int attempts = 0;
+    /// Number of resumptions since the last one that delivered a token.
     int resumes = 0;
+    /// The value of delivered at the last resumption.
     std::uint64_t deliveredAtResume = 0;
-    /// Tokens that have reached the caller.
+    /// Number of tokens delivered to the client.
     std::uint64_t delivered = 0;
     instant deadline;
 };
 
 enum class recovery_step {
-    /// Another try from the start; nothing has been delivered.
+    /// Try again from the start; nothing has been delivered.
     retry,
-    /// Take up the stream at the same engine.
+    /// Resume the stream at the same engine.
     resume,
-    /// Another replica goes on after the delivered text.
+    /// Let another replica continue after the delivered text.
     continue_elsewhere,
     give_up
 };
@@ -55,16 +56,16 @@
 struct recovery
 {
     recovery_step step = recovery_step::give_up;
-    /// The final answer's kind where it is given up.
+    /// The kind of error to answer with if the step is give_up.
     error_kind kind = error_kind::internal;
 };
 
-constexpr int mostTries = 4;
-/// Resumptions one after another that bring nothing.
-constexpr int mostIdleResumes = 2;
+constexpr int maxAttempts = 4;
+/// Maximum number of consecutive resumptions that deliver nothing.
+constexpr int maxIdleResumes = 2;
 
-/// Takes in how a try ended, and says what comes next. \a hasBudget tells whether the deployment's retry budget allows one
-/// more try. It never says that a request did not run when any of its tries may have.
-recovery afterFailure(request_progress &progress, try_failure failure, bool hasBudget, instant now);
+/// Records how an attempt ended, and returns the next step. \a hasBudget is whether the deployment's retry budget allows one more attempt.
+/// The error kind never implies that a request did not run if any of its attempts may have run.
+recovery planRecovery(request_progress &progress, attempt_failure failure, bool hasBudget, instant now);
 
 } // namespace vetchpost
--- a/Libraries/Requests/replica_constraints.cpp
+++ b/Libraries/Requests/replica_constraints.cpp
@@ -7,104 +7,104 @@
 
 namespace {
 
-void noteChange(replica_constraints &table, replica_constraint &constraint)
+void markChanged(replica_constraints &table, replica_constraint &constraint)
 {
     constraint.changed = ++table.changes;
 }
 
-/// True where the limit itself is another one now.
-bool takeLimit(replica_constraints &table, replica_constraint &constraint, std::optional<double> limit, instant toldAt)
+/// Returns true if the value of the limit has changed.
+bool updateLimit(replica_constraints &table, replica_constraint &constraint, std::optional<double> limit, instant reportedAt)
 {
-    constraint.rateToldAt = std::max(constraint.rateToldAt, toldAt);
+    constraint.rateReportedAt = std::max(constraint.rateReportedAt, reportedAt);
     if (constraint.rateLimit == limit) {
         return false;
     }
     constraint.rateLimit = limit;
-    noteChange(table, constraint);
+    markChanged(table, constraint);
     return true;
 }
 
 } // namespace
 
-constraint_change noteAnswer(replica_constraints &table, const replica_key &replica, const replica_notice &notice, instant now)
+constraint_change applyNotice(replica_constraints &table, const replica_key &replica, const replica_notice &notice, instant now)
 {
-    const bool saysNothing = !notice.rateLimit && !notice.rest && !notice.isLeaving;
-    if (saysNothing && !table.known.contains(replica)) {
+    const bool hasNoConstraint = !notice.rateLimit && !notice.backoff && !notice.isLeaving;
+    if (hasNoConstraint && !table.entries.contains(replica)) {
         return {};
     }
-    auto &constraint = table.known[replica];
-    constraint.learnedAt = now;
+    auto &constraint = table.entries[replica];
+    constraint.updatedAt = now;
     constraint_change change;
-    if (notice.rateLimit || notice.tellsAll) {
-        change.hasLimit = takeLimit(table, constraint, notice.rateLimit, now);
+    if (notice.rateLimit || notice.isExhaustive) {
+        change.hasLimit = updateLimit(table, constraint, notice.rateLimit, now);
     }
-    if (notice.rest) {
-        change.hasRest = now >= constraint.restsUntil;
-        constraint.restsUntil = std::max(constraint.restsUntil, now + *notice.rest);
+    if (notice.backoff) {
+        change.hasBackoff = now >= constraint.backoffUntil;
+        constraint.backoffUntil = std::max(constraint.backoffUntil, now + *notice.backoff);
     }
     if (notice.isLeaving && !constraint.isLeaving) {
         constraint.isLeaving = true;
         change.isLeaving = true;
-        noteChange(table, constraint);
+        markChanged(table, constraint);
     }
     return change;
 }
 
-bool noteDepartures(replica_constraints &table, const std::vector<replica_key> &replicas, instant now)
+bool recordDepartures(replica_constraints &table, const std::vector<replica_key> &replicas, instant now)
 {
     replica_notice departure;
     departure.isLeaving = true;
-    bool isNews = false;
+    bool hasChanged = false;
     for (const auto &replica : replicas) {
-        isNews = noteAnswer(table, replica, departure, now).isLeaving || isNews;
+        hasChanged = applyNotice(table, replica, departure, now).isLeaving || hasChanged;
     }
-    return isNews;
+    return hasChanged;
 }
 
-void forgetOld(replica_constraints &table, instant now)
+void expireEntries(replica_constraints &table, instant now)
 {
-    std::erase_if(table.known, [&](const auto &entry) {
+    std::erase_if(table.entries, [&](const auto &entry) {
         const auto &constraint = entry.second;
         const auto lifetime = constraint.isLeaving ? departureLifetime : constraintLifetime;
-        return now - constraint.learnedAt >= lifetime && now >= constraint.restsUntil;
+        return now - constraint.updatedAt >= lifetime && now >= constraint.backoffUntil;
     });
 }
 
-bool takeEvidence(replica_constraints &table, const constraint_report &report, instant now)
+bool mergeReport(replica_constraints &table, const constraint_report &report, instant now)
 {
-    const bool tellsLimit = report.rateAge < constraintLifetime;
-    if (!tellsLimit && !report.isLeaving) {
+    const bool reportsLimit = report.rateAge < constraintLifetime;
+    if (!reportsLimit && !report.isLeaving) {
         return false;
     }
-    auto &constraint = table.known[report.replica];
+    auto &constraint = table.entries[report.replica];
     const auto before = constraint.changed;
-    const auto toldAt = now - report.rateAge;
-    constraint.learnedAt = now;
-    if (tellsLimit && toldAt > constraint.rateToldAt) {
-        takeLimit(table, constraint, report.rateLimit, toldAt);
-    } else if (tellsLimit && constraint.rateLimit != report.rateLimit) {
-        // Whoever told it holds an earlier word.
-        noteChange(table, constraint);
+    const auto reportedAt = now - report.rateAge;
+    constraint.updatedAt = now;
+    if (reportsLimit && reportedAt > constraint.rateReportedAt) {
+        updateLimit(table, constraint, report.rateLimit, reportedAt);
+    } else if (reportsLimit && constraint.rateLimit != report.rateLimit) {
+        // The sender has an earlier statement on the limit, so the later one is sent again.
+        markChanged(table, constraint);
         return false;
     }
     if (report.isLeaving && !constraint.isLeaving) {
         constraint.isLeaving = true;
-        noteChange(table, constraint);
+        markChanged(table, constraint);
     }
     return constraint.changed != before;
 }
 
-constraint_report evidenceOf(const replica_key &replica, const replica_constraint &constraint, instant now)
+constraint_report makeReport(const replica_key &replica, const replica_constraint &constraint, instant now)
 {
-    return {replica, constraint.rateLimit, std::min(now - constraint.rateToldAt, constraintLifetime), constraint.isLeaving};
+    return {replica, constraint.rateLimit, std::min(now - constraint.rateReportedAt, constraintLifetime), constraint.isLeaving};
 }
 
-bool concernsAll(const replica_constraint &constraint)
+bool mustBeShared(const replica_constraint &constraint)
 {
     return constraint.changed > 0;
 }
 
-bool isAsTold(const replica_constraints &table, const constraint_report &report)
+bool matchesReport(const replica_constraints &table, const constraint_report &report)
 {
     const auto *known = findConstraint(table, report.replica);
     return known != nullptr && known->rateLimit == report.rateLimit && known->isLeaving == report.isLeaving;
@@ -112,8 +112,8 @@
 
 const replica_constraint *findConstraint(const replica_constraints &table, const replica_key &replica)
 {
-    const auto found = table.known.find(replica);
-    return found == table.known.end() ? nullptr : &found->second;
+    const auto found = table.entries.find(replica);
+    return found == table.entries.end() ? nullptr : &found->second;
 }
 
 } // namespace vetchpost
--- a/Libraries/Requests/replica_constraints.h
+++ b/Libraries/Requests/replica_constraints.h
@@ -10,11 +10,11 @@
 #include <optional>
 #include <vector>
 
-/// What replicas said of the work that they can take, by their lives (docs/design/REPLICA-CONSTRAINTS.md). A limit and a departure concern
-/// all daemons, a rest the daemon that was asked for it.
+/// Limits that replicas have announced for the load that they accept, by incarnation (docs/design/REPLICA-CONSTRAINTS.md). A rate limit and
+/// a departure apply to all daemons, a backoff to the daemon that received it.
 namespace vetchpost {
 
-/// One life of one replica: what it said holds for no other, whatever groups it belongs to meanwhile.
+/// One incarnation of one replica. A constraint applies to this incarnation alone, independent of the groups that the replica belongs to.
 struct replica_key
 {
     instance_id replica;
@@ -23,74 +23,77 @@
     auto operator<=>(const replica_key &) const = default;
 };
 
+/// The announced constraints of one replica.
 struct replica_constraint
 {
-    /// Requests a second from all daemons together; nothing where it names no limit.
+    /// Requests per second from all daemons together; nothing if the replica has no limit.
     std::optional<double> rateLimit;
-    /// When it last named the limit, or answered without one.
-    instant rateToldAt;
-    /// Nothing from this daemon before this time.
-    instant restsUntil;
+    /// When the replica last announced the limit, or answered without one.
+    instant rateReportedAt;
+    /// This daemon sends nothing to the replica before this time.
+    instant backoffUntil;
     bool isLeaving = false;
-    /// When anything was last learned of it.
-    instant learnedAt;
-    /// The number of its last change in this table that concerns all daemons; 0 where none has.
+    /// When the entry was last updated.
+    instant updatedAt;
+    /// The value of replica_constraints::changes at the last change of this entry that all daemons have to know; 0 if there was none.
     std::uint64_t changed = 0;
 };
 
 struct replica_constraints
 {
-    std::map<replica_key, replica_constraint> known;
-    /// Of all changes so far.
+    std::map<replica_key, replica_constraint> entries;
+    /// Number of changes so far that all daemons have to know.
     std::uint64_t changes = 0;
 };
 
-/// Of which nothing was learned for so long is forgotten: the replica has ended, or nobody has asked it for anything.
+/// An entry without an update for this long is removed: the replica has terminated, or no daemon has sent it a request.
 constexpr duration constraintLifetime(600000);
-/// A departure holds until the next life, however long the replica takes to end; what has ended must be forgotten at some time.
+/// The lifetime of an entry of a leaving replica. A departure applies to the rest of the incarnation, however long the replica takes to
+/// terminate, but the entry of a terminated replica must be removed at some time.
 constexpr duration departureLifetime(86400000);
 
-/// Which parts of what is known an answer changed.
+/// The parts of a replica's constraints that an answer changed.
 struct constraint_change
 {
     bool hasLimit = false;
-    bool hasRest = false;
+    bool hasBackoff = false;
     bool isLeaving = false;
 
     bool isAny() const
     {
-        return hasLimit || hasRest || isLeaving;
+        return hasLimit || hasBackoff || isLeaving;
     }
 };
 
-/// Takes in what an answer to this daemon says.
-constraint_change noteAnswer(replica_constraints &table, const replica_key &replica, const replica_notice &notice, instant now);
-/// Takes in replicas whose entries say that they leave; true where that was news.
-bool noteDepartures(replica_constraints &table, const std::vector<replica_key> &replicas, instant now);
-void forgetOld(replica_constraints &table, instant now);
+/// Applies the notice in a replica's answer to this daemon. Returns what it changed.
+constraint_change applyNotice(replica_constraints &table, const replica_key &replica, const replica_notice &notice, instant now);
+/// Records that \a replicas are leaving, as their entries say. Returns true if that was new for any of them.
+bool recordDepartures(replica_constraints &table, const std::vector<replica_key> &replicas, instant now);
+/// Removes entries without an update for their lifetime.
+void expireEntries(replica_constraints &table, instant now);
 
-/// What one daemon tells another of a replica.
+/// The constraints of one replica as daemons report them to each other.
 struct constraint_report
 {
     replica_key replica;
     std::optional<double> rateLimit;
-    /// Since the replica last named the limit, or answered without one; constraintLifetime where it did neither.
+    /// Time since the replica last announced the limit, or answered without one; constraintLifetime if it did neither.
     duration rateAge{};
     bool isLeaving = false;
 };
 
-/// Takes in what another daemon tells. The later word on a limit holds, and is told again where an earlier one came against it. True where
-/// it was news.
-bool takeEvidence(replica_constraints &table, const constraint_report &report, instant now);
-constraint_report evidenceOf(const replica_key &replica, const replica_constraint &constraint, instant now);
-/// Whether other daemons have to know of it.
-bool concernsAll(const replica_constraint &constraint);
-/// Whether the table holds just what a report told.
-bool isAsTold(const replica_constraints &table, const constraint_report &report);
+/// Merges another daemon's report into the table. Of two statements on a limit the later one applies; if the report holds an earlier one
+/// that differs, the entry is marked as changed so that the later one is sent again. Returns true if the report changed the entry.
+bool mergeReport(replica_constraints &table, const constraint_report &report, instant now);
+constraint_report makeReport(const replica_key &replica, const replica_constraint &constraint, instant now);
+/// Returns whether other daemons have to know the constraint.
+bool mustBeShared(const replica_constraint &constraint);
+/// Returns whether the table's entry is the same as a report.
+bool matchesReport(const replica_constraints &table, const constraint_report &report);
 
 inline const std::map<replica_key, replica_constraint> &entriesOf(const replica_constraints &table)
 {
-    return table.known;
+    return table.entries;
 }
 
 inline const replica_key &keyOf(const constraint_report &report)
@@ -98,7 +101,7 @@
     return report.replica;
 }
 
-/// What is known of a replica; nullptr where nothing is.
+/// Returns the constraints of a replica, or nullptr if it has none.
 const replica_constraint *findConstraint(const replica_constraints &table, const replica_key &replica);
 
 } // namespace vetchpost
--- a/Libraries/Requests/replica_notice.cpp
+++ b/Libraries/Requests/replica_notice.cpp
@@ -9,49 +9,49 @@
 
 namespace {
 
-/// Above this a limit limits nothing that one replica could be sent.
-constexpr double largestRateLimit = 1e6;
+/// A higher limit than this would have no effect, as no replica is sent as many requests.
+constexpr double maxRateLimit = 1e6;
 
-std::optional<double> decimalOf(const std::string &text)
+std::optional<double> parseDecimal(const std::string &text)
 {
     double value = 0;
     const auto *end = text.data() + text.size();
     const auto parsed = std::from_chars(text.data(), end, value, std::chars_format::fixed);
-    const bool isRead = parsed.ec == std::errc() && parsed.ptr == end && std::isfinite(value);
-    return isRead ? std::optional(value) : std::nullopt;
+    const bool isValid = parsed.ec == std::errc() && parsed.ptr == end && std::isfinite(value);
+    return isValid ? std::optional(value) : std::nullopt;
 }
 
 } // namespace
 
 bool isDecimal(const std::string &text)
 {
-    return decimalOf(text).has_value();
+    return parseDecimal(text).has_value();
 }
 
-std::optional<double> rateLimitOf(const std::string &text)
+std::optional<double> parseRateLimit(const std::string &text)
 {
-    const auto value = decimalOf(text);
+    const auto value = parseDecimal(text);
     if (!value || *value < 0) {
         return std::nullopt;
     }
-    return std::clamp(*value, leastRateLimit, largestRateLimit);
+    return std::clamp(*value, minRateLimit, maxRateLimit);
 }
 
-std::optional<duration> restOf(const std::string &text)
+std::optional<duration> parseBackoff(const std::string &text)
 {
     if (text.empty()) {
         return std::nullopt;
     }
-    const auto seconds = decimalOf(text);
+    const auto seconds = parseDecimal(text);
     if (!seconds) {
-        return unreadableRest;
+        return unreadableBackoff;
     }
     if (*seconds <= 0) {
         return std::nullopt;
     }
-    const auto longest = secondsOf(longestRest);
-    // Rounded up: a request that comes a fraction of a millisecond early would come too early.
-    return duration(static_cast<std::int64_t>(std::ceil(std::min(*seconds, longest) * 1000)));
+    const auto maxSeconds = secondsOf(maxBackoff);
+    // Rounded up, because a request must not be sent even a fraction of a millisecond early.
+    return duration(static_cast<std::int64_t>(std::ceil(std::min(*seconds, maxSeconds) * 1000)));
 }
 
 } // namespace vetchpost
--- a/Libraries/Requests/replica_notice.h
+++ b/Libraries/Requests/replica_notice.h
@@ -8,38 +8,39 @@
 
 namespace vetchpost {
 
-/// What a replica says in one answer of the work that it can take.
+/// What a replica announces in one answer about the load that it accepts.
 struct replica_notice
 {
-    /// Requests a second that it takes from all daemons together.
+    /// Requests per second that the replica accepts from all daemons together.
     std::optional<double> rateLimit;
-    /// It takes nothing from this daemon for so long.
-    std::optional<duration> rest;
-    /// It is about to end.
+    /// How long this daemon must not send requests to the replica.
+    std::optional<duration> backoff;
+    /// Whether the replica is about to terminate.
     bool isLeaving = false;
-    /// Whether an answer without a limit tells that there is none.
-    bool tellsAll = false;
-    /// A value that could not be read; empty where all could.
+    /// Whether an answer without a limit means that there is none.
+    bool isExhaustive = false;
+    /// A value that could not be parsed; empty if all could.
     std::string unreadable = {};
 
     bool isEmpty() const
     {
-        return !rateLimit && !rest && !isLeaving && unreadable.empty();
+        return !rateLimit && !backoff && !isLeaving && unreadable.empty();
     }
 };
 
-/// A replica that takes nothing at all is asked this often (a second) whether that is still so.
-constexpr double leastRateLimit = 0.05;
-/// A replica that wants more rest than this says so again.
-constexpr duration longestRest(600000);
-/// Where a replica asks for rest in a form that cannot be read.
-constexpr duration unreadableRest(1000);
-
-/// A decimal number of requests a second; nothing where the text is none, or negative.
-std::optional<double> rateLimitOf(const std::string &text);
-/// Seconds, fractions allowed. Nothing where no time is asked for; unreadableRest where the text is no number.
-std::optional<duration> restOf(const std::string &text);
-/// Whether the text is a finite decimal number.
+/// Requests per second. A replica that accepts no requests at all still gets this many, to find out whether that has changed.
+constexpr double minRateLimit = 0.05;
+/// The longest backoff that is applied; a replica that needs more has to announce it again.
+constexpr duration maxBackoff(600000);
+/// The backoff that is applied if a replica's value cannot be parsed.
+constexpr duration unreadableBackoff(1000);
+
+/// Parses a decimal number of requests per second. Returns nothing if the text is not a number or negative.
+std::optional<double> parseRateLimit(const std::string &text);
+/// Parses a number of seconds, which may be fractional. Returns nothing if the text is empty or the number is not positive, and
+/// unreadableBackoff if the text is not a number.
+std::optional<duration> parseBackoff(const std::string &text);
+/// Returns whether the text is a finite decimal number.
 bool isDecimal(const std::string &text);
 
 } // namespace vetchpost
--- a/Libraries/Requests/request_identity.cpp
+++ b/Libraries/Requests/request_identity.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::size_t keyBytes = crypto_generichash_KEYBYTES;
-/// Chance does not bring two requests together, nor can a caller who does not know the key.
+/// Long enough that identities do not collide by chance, nor can a client without the key make them collide.
 constexpr std::size_t identityBytes = crypto_generichash_BYTES_MIN;
 
 std::string hexOf(const unsigned char *bytes, std::size_t size)
@@ -31,17 +31,17 @@
     return bytes;
 }
 
-void take(crypto_generichash_state &state, std::string_view text)
+void hashText(crypto_generichash_state &state, std::string_view text)
 {
     crypto_generichash_update(&state, reinterpret_cast<const unsigned char *>(text.data()), text.size());
 }
 
-/// Its length goes before each part, so that no two lists of parts give the same bytes.
-void takePart(crypto_generichash_state &state, std::string_view part)
+/// Hashes a part with its length as a prefix, so that no two lists of parts yield the same bytes.
+void hashPart(crypto_generichash_state &state, std::string_view part)
 {
     const std::uint64_t size = part.size();
-    take(state, {reinterpret_cast<const char *>(&size), sizeof size});
-    take(state, part);
+    hashText(state, {reinterpret_cast<const char *>(&size), sizeof size});
+    hashText(state, part);
 }
 
 } // namespace
@@ -58,15 +58,16 @@
     return bytesOf(text).size() == keyBytes ? std::optional(identity_key(text)) : std::nullopt;
 }
 
-// BLAKE2b with a key: prompts can be guessed, and without the key nobody who reads the log or the datagrams can try a guess. The
-// organisation is a part of it, so that no caller can have another's requests refused. A streaming digest copies no body.
+// Keyed BLAKE2b: prompts can be guessed, and without the key nobody who reads the log or the datagrams can verify a guess. The organisation
+// is included, so that no client can cause another's requests to be refused. The digest is computed incrementally to avoid a copy of the
+// body.
 request_identity identityOf(const identity_key &key, const identifying_parts &parts)
 {
     const auto secret = bytesOf(key.value());
     crypto_generichash_state state;
     crypto_generichash_init(&state, secret.data(), secret.size(), identityBytes);
     for (const auto part : {std::string_view(parts.organisation.value()), parts.method, parts.host, parts.target, parts.body}) {
-        takePart(state, part);
+        hashPart(state, part);
     }
     std::array<unsigned char, identityBytes> digest{};
     crypto_generichash_final(&state, digest.data(), digest.size());
--- a/Libraries/Requests/request_identity.h
+++ b/Libraries/Requests/request_identity.h
@@ -9,15 +9,15 @@
 
 namespace vetchpost {
 
-/// What a request and its repeats under other ids have in common, as a keyed digest in hexadecimal.
+/// Identifies the content of a request, whatever its id: a keyed digest in hexadecimal, the same for a request and its repetitions.
 using request_identity = identifier<struct request_identity_tag>;
-/// The secret that all daemons of a deployment digest with, in hexadecimal.
+/// The secret key of the digest, shared by all daemons of a deployment, in hexadecimal.
 using identity_key = identifier<struct identity_key_tag>;
 
-/// What tells one request from another, beside its id.
+/// The parts of a request that its identity is computed from.
 struct identifying_parts
 {
-    /// Empty on routes without keys.
+    /// Empty on routes without API keys.
     organisation_id organisation;
     std::string_view method;
     std::string_view host;
@@ -26,10 +26,11 @@
     std::string_view body;
 };
 
-/// A new secret key from the system's source of randomness.
+/// Creates a key from the system's cryptographic random number generator.
 identity_key makeIdentityKey();
-/// Nothing where the text is no key.
+/// Returns nothing if the text is not a key.
 std::optional<identity_key> parseIdentityKey(const std::string &text);
+/// Computes the keyed digest of \a parts.
 request_identity identityOf(const identity_key &key, const identifying_parts &parts);
 
 } // namespace vetchpost
--- a/Libraries/Requests/retry_budget.h
+++ b/Libraries/Requests/retry_budget.h
@@ -5,22 +5,22 @@
 
 namespace vetchpost {
 
-/// Bounds the retries of a deployment to a share of its first tries, so that a brown-out is not fed by retries.
+/// Limits the retries of a deployment to a share of its first attempts, so that retries do not amplify an overload.
 struct retry_budget
 {
-    /// What each first try adds.
+    /// Retries that each first attempt adds.
     double share = 0.1;
-    double most = 20;
+    double maximum = 20;
     double available = 20;
 };
 
-inline void noteFirstTry(retry_budget &budget)
+inline void recordFirstAttempt(retry_budget &budget)
 {
-    budget.available = std::min(budget.most, budget.available + budget.share);
+    budget.available = std::min(budget.maximum, budget.available + budget.share);
 }
 
-/// Takes one retry out of the budget; false where it is used up.
-inline bool takeRetry(retry_budget &budget)
+/// Takes one retry from the budget. Returns false if the budget is used up.
+inline bool spendRetry(retry_budget &budget)
 {
     if (budget.available < 1) {
         return false;
--- a/Libraries/Requests/router.cpp
+++ b/Libraries/Requests/router.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-/// Prompts of one use share their instructions; what follows is their own.
+/// Length in bytes. Prompts of the same application start with the same instructions and differ after them.
 constexpr std::size_t prefixLength = 512;
 
 double loadOf(const replica_load &replica)
 {
-    // The report lags: own work that it cannot show yet is added, and own work is a lower bound in any case.
+    // The report lags behind: requests sent since then are added, and the daemon's own requests are a lower bound in any case.
     return std::max(replica.reported + replica.sentSince, replica.inFlight);
 }
 
@@ -24,7 +24,7 @@
     return !replica.isExcluded && replica.inFlight < replica.limit;
 }
 
-/// What a few replicas show of all.
+/// Statistics of a sample of the replicas.
 struct load_sample
 {
     double meanLoad = 0;
@@ -34,7 +34,7 @@
 load_sample sampleLoads(const replica_choices &replicas, std::mt19937_64 &random)
 {
     constexpr std::size_t samples = 12;
-    const auto total = replicas.places.size();
+    const auto total = replicas.ringPositions.size();
     const auto count = std::min(samples, total);
     const auto first = random() % total;
     const auto stride = std::max<std::size_t>(1, total / count);
@@ -62,7 +62,7 @@
     return sample;
 }
 
-/// The lower the better.
+/// Returns the score of a replica; lower is better. \a median is the median first-token time in milliseconds, 0 while unknown.
 double scoreOf(const replica_load &replica, double median, const routing_policy &policy)
 {
     auto score = (loadOf(replica) + 1) / std::max(replica.ramp, 0.05);
@@ -72,40 +72,42 @@
     return score;
 }
 
-/// The replica where this prefix is most likely cached: the first two on the ring from the prefix on, so that its cache stands
-/// in few places and one of them can still be passed over.
+/// Returns the replica where the prefix is most likely cached: one of the first two after it on the ring, so that the prefix is cached at
+/// few replicas and one of them may still be skipped. Returns nothing if neither is available within the load bound.
 std::optional<std::size_t>
 bestForPrefix(const replica_choices &replicas, std::uint64_t prefix, const load_sample &sample, const routing_policy &policy)
 {
     constexpr std::size_t candidates = 2;
-    const auto &places = replicas.places;
+    const auto &ringPositions = replicas.ringPositions;
     const auto bound = policy.affinityBound * (sample.meanLoad + 1) + 1;
-    const auto first = static_cast<std::size_t>(std::lower_bound(places.begin(), places.end(), prefix) - places.begin());
-    for (std::size_t i = 0; i < std::min(candidates, places.size()); ++i) {
-        const auto place = (first + i) % places.size();
-        const auto replica = replicas.loadAt(place);
+    const auto first
+        = static_cast<std::size_t>(std::lower_bound(ringPositions.begin(), ringPositions.end(), prefix) - ringPositions.begin());
+    for (std::size_t i = 0; i < std::min(candidates, ringPositions.size()); ++i) {
+        const auto index = (first + i) % ringPositions.size();
+        const auto replica = replicas.loadAt(index);
         if (isAvailable(replica) && scoreOf(replica, sample.medianFirstToken, policy) <= bound) {
-            return place;
+            return index;
         }
     }
     return std::nullopt;
 }
 
-/// Any available replica: a few random ones are tried, then all from the last one on.
+/// Returns any available replica: a few random ones are examined, then all others, starting after the last of these. Returns nothing if
+/// none is available.
 std::optional<std::size_t> anyAvailable(const replica_choices &replicas, std::mt19937_64 &random)
 {
-    constexpr int randomTries = 4;
-    const auto total = replicas.places.size();
-    std::size_t place = 0;
-    for (int i = 0; i < randomTries; ++i) {
-        place = random() % total;
-        if (isAvailable(replicas.loadAt(place))) {
-            return place;
+    constexpr int randomPicks = 4;
+    const auto total = replicas.ringPositions.size();
+    std::size_t index = 0;
+    for (int i = 0; i < randomPicks; ++i) {
+        index = random() % total;
+        if (isAvailable(replicas.loadAt(index))) {
+            return index;
         }
     }
     for (std::size_t i = 1; i < total; ++i) {
-        if (isAvailable(replicas.loadAt((place + i) % total))) {
-            return (place + i) % total;
+        if (isAvailable(replicas.loadAt((index + i) % total))) {
+            return (index + i) % total;
         }
     }
     return std::nullopt;
@@ -116,7 +118,7 @@
 std::optional<std::size_t>
 chooseReplica(const replica_choices &replicas, std::uint64_t prefix, const routing_policy &policy, std::mt19937_64 &random)
 {
-    if (replicas.places.empty()) {
+    if (replicas.ringPositions.empty()) {
         return std::nullopt;
     }
     const auto sample = sampleLoads(replicas, random);
@@ -125,13 +127,13 @@
             return cached;
         }
     }
-    // Two random ones, the better of them.
+    // The better of two random replicas.
     const auto first = anyAvailable(replicas, random);
     const auto second = first ? anyAvailable(replicas, random) : std::nullopt;
     if (!second) {
         return first;
     }
-    const auto scoreAt = [&](std::size_t place) { return scoreOf(replicas.loadAt(place), sample.medianFirstToken, policy); };
+    const auto scoreAt = [&](std::size_t index) { return scoreOf(replicas.loadAt(index), sample.medianFirstToken, policy); };
     return scoreAt(*second) < scoreAt(*first) ? second : first;
 }
 
--- a/Libraries/Requests/router.h
+++ b/Libraries/Requests/router.h
@@ -14,49 +14,49 @@
 
 namespace vetchpost {
 
-/// What a choice needs to know of one replica.
+/// The load of one replica, as the choice of a replica needs it.
 struct replica_load
 {
-    /// What the engine reported last: running and queued.
+    /// Running and queued requests in the engine's last report.
     int reported = 0;
-    /// What this daemon has sent there since that report.
+    /// Requests that this daemon has sent to the replica since that report.
     int sentSince = 0;
-    /// What this daemon has there in all.
+    /// Requests of this daemon at the replica.
     int inFlight = 0;
-    /// The daemon's learned limit for the replica.
+    /// The daemon's adaptive limit for the replica.
     int limit = 1;
-    /// Its first-token times of late, in milliseconds; 0 while unknown.
+    /// Recent first-token time in milliseconds; 0 while unknown.
     double firstTokenMilliseconds = 0;
-    /// From 0 to 1: how much of its share a newly serving replica already gets.
+    /// The part of its normal share that a newly serving replica gets already, from 0 to 1.
     double ramp = 1;
-    /// It must not be chosen: it failed a moment ago, or was tried for this request.
+    /// Whether the replica must not be chosen, because it failed recently or was already tried for this request.
     bool isExcluded = false;
 };
 
 struct routing_policy
 {
-    /// How far above the mean load a replica may be and still be chosen for its cache.
+    /// The multiple of the mean load up to which a replica is chosen for its cached prefix.
     double affinityBound = 1.25;
-    /// Replicas slower than this multiple of the median get less.
+    /// Replicas whose first token takes longer than this multiple of the median get fewer requests.
     double slowFactor = 2;
 };
 
-/// The replicas to choose from. Their loads are asked for one at a time, so that a choice looks at a number of them that does
-/// not grow with the fleet.
+/// The replicas to choose from. Their loads are queried one at a time, because a choice examines a number of them that does not grow with
+/// the fleet.
 struct replica_choices
 {
-    /// The replicas' places on the ring of prefixes, in rising order.
-    const std::vector<std::uint64_t> &places;
-    /// The load of the replica at this index.
+    /// The replicas' positions on the consistent-hashing ring of prefixes, in ascending order.
+    const std::vector<std::uint64_t> &ringPositions;
+    /// Returns the load of the replica at this index.
     std::function<replica_load(std::size_t)> loadAt;
 };
 
-/// Chooses a replica for a prompt whose prefix hashes to \a prefix, 0 for none; its index. Nothing where every replica is
+/// Chooses a replica for a prompt whose prefix has the hash \a prefix (0 for none). Returns its index, or nothing if every replica is
 /// excluded or at its limit.
 std::optional<std::size_t>
 chooseReplica(const replica_choices &replicas, std::uint64_t prefix, const routing_policy &policy, std::mt19937_64 &random);
 
-/// The hash of the part of a prompt that requests are likely to share.
+/// Returns the hash of the part of a prompt that requests are likely to share; 0 if the prompt is too short to have one.
 std::uint64_t prefixHash(std::string_view prompt);
 
 } // namespace vetchpost
--- a/Tests/Entry/testCrashNotes.cpp
+++ b/Tests/Entry/testCrashNotes.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::int64_t writtenAt = 1700000000000;
-const crash_evidence evidence{
+const suspect_report evidence{
     request_identity("aa"), organisation_id("o"), {replica_end(1), replica_end(2), replica_end(3)}, 4, duration(500)};
 const crash_notes notes{identity_key(std::string(64, 'b')), {evidence}};
 
--- a/Tests/Feed/feedSimulation.cpp
+++ b/Tests/Feed/feedSimulation.cpp
@@ -333,7 +333,7 @@
 
 void feed_simulation::endReplica(int daemon, const request_identity &request, replica_end end)
 {
-    noteEnd(m_nodes[static_cast<std::size_t>(daemon)].suspects, request, organisation_id("o"), end, m_now);
+    recordReplicaEnd(m_nodes[static_cast<std::size_t>(daemon)].suspects, request, organisation_id("o"), end, m_now);
 }
 
 std::optional<duration> feed_simulation::timeUntilRefusedEverywhere(const request_identity &request, duration longest)
--- a/Tests/Feed/limitSimulation.cpp
+++ b/Tests/Feed/limitSimulation.cpp
@@ -103,12 +103,12 @@
 {
     replica_notice notice;
     notice.isLeaving = true;
-    noteAnswer(m_nodes[static_cast<std::size_t>(daemon)].table, replica, notice, m_feed.now());
+    applyNotice(m_nodes[static_cast<std::size_t>(daemon)].table, replica, notice, m_feed.now());
 }
 
 void limit_simulation::readDeparture(int daemon)
 {
-    noteDepartures(m_nodes[static_cast<std::size_t>(daemon)].table, {replica}, m_feed.now());
+    recordDepartures(m_nodes[static_cast<std::size_t>(daemon)].table, {replica}, m_feed.now());
 }
 
 std::optional<duration> limit_simulation::timeUntilDepartureKnown(duration longest)
@@ -155,24 +155,24 @@
         m_feed.send(daemon, applyBatch(next.sync, next.table, *batch, from, m_feed.now()));
     } else if (const auto *ack = std::get_if<constraint_ack>(&message)) {
         applyAck(next.sync, *ack, from);
-    } else if (const auto *permitRequest = std::get_if<permit_question>(&message); permitRequest != nullptr && m_feed.isSource(daemon)) {
+    } else if (const auto *permitRequest = std::get_if<permit_request>(&message); permitRequest != nullptr && m_feed.isSource(daemon)) {
         m_feed.send(daemon, {{from}, issueAtSource(daemon, *permitRequest, from)});
-    } else if (const auto *answer = std::get_if<permit_answer>(&message)) {
-        takeAnswer(next.wallet, *answer, m_feed.now());
+    } else if (const auto *answer = std::get_if<permit_response>(&message)) {
+        acceptResponse(next.wallet, *answer, m_feed.now());
     }
 }
 
-permit_answer limit_simulation::issueAtSource(int daemon, const permit_question &permitRequest, const endpoint &asker)
+permit_response limit_simulation::issueAtSource(int daemon, const permit_request &permitRequest, const endpoint &asker)
 {
     auto &source = m_nodes[static_cast<std::size_t>(daemon)];
-    return answerQuestion(source.issuer, source.table, permitRequest, asker, m_feed.now());
+    return answerPermitRequest(source.issuer, source.table, permitRequest, asker, m_feed.now());
 }
 
-void limit_simulation::requestPermits(int daemon, const permit_question &permitRequest)
+void limit_simulation::requestPermits(int daemon, const permit_request &permitRequest)
 {
     ++m_permitRequests;
     if (m_feed.isSource(daemon)) {
-        takeAnswer(
+        acceptResponse(
             m_nodes[static_cast<std::size_t>(daemon)].wallet, issueAtSource(daemon, permitRequest, m_feed.addressOf(daemon)), m_feed.now());
     } else if (const auto origin = m_feed.originOf(daemon)) {
         m_feed.send(daemon, {{*origin}, permitRequest});
@@ -184,17 +184,17 @@
 {
     auto &next = m_nodes[static_cast<std::size_t>(daemon)];
     const auto now = m_feed.now();
-    if (closureOf(next.table, next.wallet, replica, now).cause == closure_cause::limit) {
-        if (auto permitRequest = wantPermit(next.wallet, replica, now)) {
-            permitRequest->report = evidenceOf(replica, *findConstraint(next.table, replica), now);
+    if (blockOf(next.table, next.wallet, replica, now).cause == block_cause::limit) {
+        if (auto permitRequest = nextPermitRequest(next.wallet, replica, now)) {
+            permitRequest->report = makeReport(replica, *findConstraint(next.table, replica), now);
             requestPermits(daemon, *permitRequest);
         }
     }
-    const auto closure = closureOf(next.table, next.wallet, replica, now);
-    if (closure.cause != closure_cause::none) {
+    const auto closure = blockOf(next.table, next.wallet, replica, now);
+    if (closure.cause != block_cause::none) {
         return;
     }
-    takePermit(next.wallet, replica, now);
+    consumePermit(next.wallet, replica, now);
     const bool isSlow = m_random() % slowConnectionInterval == 0;
     const auto transit = duration(isSlow ? m_random() % maxConnectTime : usualConnectTime);
     m_inFlight.push_back({now + transit, daemon});
@@ -209,7 +209,7 @@
             return false;
         }
         auto &next = m_nodes[static_cast<std::size_t>(answer.daemon)];
-        noteAnswer(next.table, replica, answer.notice, now);
+        applyNotice(next.table, replica, answer.notice, now);
         next.informedAt = answer.notice.rateLimit ? next.informedAt.value_or(now) : next.informedAt;
         return true;
     });
@@ -221,7 +221,7 @@
         m_arrivals.push_back({now, informedAt && now - *informedAt >= informedDelay});
         replica_notice notice;
         notice.rateLimit = m_limit;
-        notice.tellsAll = true;
+        notice.isExhaustive = true;
         m_answers.push_back({request.daemon, notice});
         return true;
     });
--- a/Tests/Feed/limitSimulation.h
+++ b/Tests/Feed/limitSimulation.h
@@ -3,7 +3,7 @@
 
 #include "Tests/Feed/feedSimulation.h"
 
-#include "Libraries/Requests/place_closure.h"
+#include "Libraries/Requests/replica_block.h"
 
 #include <deque>
 #include <optional>
@@ -60,7 +60,7 @@
     {
         replica_constraints table;
         table_sync<replica_constraints> sync;
-        permit_wallet wallet;
+        permit_holder wallet;
         permit_issuer issuer;
         bool wasSource = false;
         /// When the daemon relayed the first answer that named a limit.
@@ -85,8 +85,8 @@
     void tick(int daemon);
     void receive(int daemon, const endpoint &from, const feed_message &message);
     void routeRequest(int daemon);
-    void requestPermits(int daemon, const permit_question &permitRequest);
-    permit_answer issueAtSource(int daemon, const permit_question &permitRequest, const endpoint &asker);
+    void requestPermits(int daemon, const permit_request &permitRequest);
+    permit_response issueAtSource(int daemon, const permit_request &permitRequest, const endpoint &asker);
     void deliverInFlight();
     int maxInWindow(bool fromAll) const;
 
--- a/Tests/PlatformAdapter/relayWorld.h
+++ b/Tests/PlatformAdapter/relayWorld.h
@@ -194,7 +194,7 @@
     /// The key-value service keeps from an earlier run that three replicas have ended under a request.
     void keepRefused(const request_identity &request)
     {
-        const crash_evidence kept{request, organisation_id("t1"), {replica_end(1), replica_end(2), replica_end(3)}, 0, duration(1000)};
+        const suspect_report kept{request, organisation_id("t1"), {replica_end(1), replica_end(2), replica_end(3)}, 0, duration(1000)};
         m_values[crashNotesKey] = encodeCrashNotes({identityKey(), {kept}}, calendarMilliseconds());
     }
 
--- a/Tests/PlatformAdapter/testCrashingRequests.cpp
+++ b/Tests/PlatformAdapter/testCrashingRequests.cpp
@@ -158,7 +158,7 @@
     world.start();
     auto answer = std::async(std::launch::async, [&] { return world.askWith("/stream/", "told", "t1"); });
     std::this_thread::sleep_for(duration(300));
-    const crash_evidence told{relay_world::identityOfAsk("/stream/", "told"),
+    const suspect_report told{relay_world::identityOfAsk("/stream/", "told"),
                               organisation_id("t1"),
                               {replica_end(1), replica_end(2), replica_end(3)},
                               0,
--- a/Tests/PlatformAdapter/testPlatformDialect.cpp
+++ b/Tests/PlatformAdapter/testPlatformDialect.cpp
@@ -167,16 +167,16 @@
         const auto notice = dialect.readNotice(status, {{"server-limit", "2.4"}, {"Server-Leaving", "1"}, {"Retry-After", "3"}});
         CHECK(notice.rateLimit == 2.4);
         CHECK(notice.isLeaving);
-        CHECK(notice.rest == (status == 503 ? std::optional(duration(3000)) : std::nullopt));
+        CHECK(notice.backoff == (status == 503 ? std::optional(duration(3000)) : std::nullopt));
     }
     CHECK(dialect.readNotice(200, {}).isEmpty());
-    CHECK(dialect.readNotice(200, {}).tellsAll);
-    CHECK_FALSE(dialect.readNotice(421, {}).tellsAll);
+    CHECK(dialect.readNotice(200, {}).isExhaustive);
+    CHECK_FALSE(dialect.readNotice(421, {}).isExhaustive);
     const auto junk = dialect.readNotice(503, {{"Server-Limit", "much"}, {"Server-Leaving", "0"}, {"Retry-After", "soon"}});
     CHECK_FALSE(junk.rateLimit);
     CHECK_FALSE(junk.isLeaving);
-    CHECK_FALSE(junk.tellsAll);
-    CHECK(junk.rest == unreadableRest);
+    CHECK_FALSE(junk.isExhaustive);
+    CHECK(junk.backoff == unreadableBackoff);
     CHECK(junk.unreadable == "much");
 }
 
--- a/Tests/Requests/testClaimFuzz.cpp
+++ b/Tests/Requests/testClaimFuzz.cpp
@@ -27,14 +27,14 @@
     out << '{' << step.kind << ',' << step.subject << ',' << step.amount << '}';
 }
 
-using batcher_answer = std::function<std::vector<claim_action>(claim_batcher &, instant)>;
+using batcher_callback = std::function<std::vector<claim_action>(claim_batcher &, instant)>;
 
-/// One daemon's batcher with the answers that are on their way to it.
+/// One daemon's batcher with the service's answers that have not reached it yet.
 struct fake_daemon
 {
     daemon_id id;
     claim_batcher batcher;
-    std::deque<std::pair<instant, batcher_answer>> answers;
+    std::deque<std::pair<instant, batcher_callback>> answers;
 };
 
 struct late_write
@@ -44,26 +44,26 @@
     std::string text;
 };
 
-/// What became of one claim.
-struct told_claim
+/// The history of one claim.
+struct traced_claim
 {
     std::size_t daemon = 0;
     claim_record record;
     bool isAnswered = false;
     bool isGranted = false;
-    /// The request was dispatched, so that it may have run.
+    /// Whether the request was dispatched, so that it may have run.
     bool hasRun = false;
     bool isSettled = false;
-    /// Its daemon died, so that nobody is left to withdraw it: it may stand until the window has passed.
-    bool mayStand = false;
+    /// Whether its daemon has crashed, so that nothing withdraws the claim: it may remain until the window has passed.
+    bool mayRemain = false;
 };
 
-/// Daemons that claim keys of one shard, with a service that loses replies, is late, or is away. The oracle keeps, per key,
-/// which requests ran.
-class claim_world
+/// Simulates daemons that claim keys of one shard, with a service that loses replies, delays them, or is unavailable. The oracle records
+/// which requests ran for each key.
+class claim_simulation
 {
 public:
-    explicit claim_world(std::uint64_t seed)
+    explicit claim_simulation(std::uint64_t seed)
         : m_random(seed)
     {
         for (int i = 0; i < 3; ++i) {
@@ -78,11 +78,11 @@
         case 0:
         case 1:
         case 2:
-            ask(daemon, step.amount % 5, step.amount % 7 == 0);
+            requestClaim(daemon, step.amount % 5, step.amount % 7 == 0);
             break;
         case 3:
         case 4:
-            settleOne(static_cast<std::size_t>(step.amount));
+            settleRandomClaim(static_cast<std::size_t>(step.amount));
             break;
         case 5:
             m_downUntil = m_now + duration(step.amount % 20000);
@@ -91,11 +91,11 @@
             m_repliesToLose += 1 + step.amount % 3;
             break;
         case 7:
-            // The daemon dies: its batcher is gone, and nobody hears its answers.
+            // The daemon crashes: its batcher is lost, and the answers to it with it.
             m_daemons[daemon].batcher = {};
             m_daemons[daemon].answers.clear();
             for (auto &[owner, claim] : m_claims) {
-                claim.mayStand = claim.mayStand || claim.daemon == daemon;
+                claim.mayRemain = claim.mayRemain || claim.daemon == daemon;
             }
             break;
         default:
@@ -104,23 +104,23 @@
         advance(duration(step.amount % 700));
     }
 
-    /// Ends all faults; then every key whose request was refused as not run can be claimed by a caller who comes back.
+    /// Ends all faults, and checks that every key whose requests were refused as not run can be claimed by a client that retries.
     void finish()
     {
         m_downUntil = m_now;
         m_repliesToLose = 0;
         advance(std::chrono::seconds(10));
         for (const auto &[owner, claim] : m_claims) {
-            if (!claim.isAnswered && !claim.mayStand) {
-                breakRule("a claim was never answered: " + owner.value());
+            if (!claim.isAnswered && !claim.mayRemain) {
+                recordViolation("a claim was never answered: " + owner.value());
             }
         }
         for (int key = 0; key < 5; ++key) {
             if (mustBeFree(key)) {
-                ask(0, key, false);
+                requestClaim(0, key, false);
                 advance(std::chrono::seconds(8));
                 if (!m_claims.rbegin()->second.isGranted) {
-                    breakRule(fmt::format("key {} is refused for ever although nobody ran it", key));
+                    recordViolation(fmt::format("key {} is refused for ever although nobody ran it", key));
                 }
             }
         }
@@ -137,30 +137,30 @@
         return m_random = hashOf(fmt::format("{}", m_random));
     }
 
-    void breakRule(const std::string &what)
+    void recordViolation(const std::string &what)
     {
         if (m_violation.empty()) {
             m_violation = what;
         }
     }
 
-    void ask(std::size_t daemon, int key, bool hasOtherBody)
+    void requestClaim(std::size_t daemon, int key, bool hasOtherBody)
     {
-        told_claim claim;
+        traced_claim claim;
         claim.daemon = daemon;
         claim.record.key = fmt::format("key{}", key);
         claim.record.body = hasOtherBody ? "other" : "body";
         claim.record.owner = request_id(fmt::format("r{:04}", m_claims.size()));
         claim.record.daemon = m_daemons[daemon].id;
-        claim.record.at = m_now.time_since_epoch().count();
+        claim.record.claimedAt = m_now.time_since_epoch().count();
         m_claims[claim.record.owner] = claim;
         addClaim(m_daemons[daemon].batcher, {{claim_change::claim, claim.record}, m_now + std::chrono::seconds(5)});
     }
 
-    /// A granted request is run, or given up before it was dispatched.
-    void settleOne(std::size_t choice)
+    /// Runs a granted request, or cancels it before it is dispatched.
+    void settleRandomClaim(std::size_t choice)
     {
-        std::vector<told_claim *> open;
+        std::vector<traced_claim *> open;
         for (auto &[owner, claim] : m_claims) {
             if (claim.isGranted && !claim.isSettled) {
                 open.push_back(&claim);
@@ -179,12 +179,12 @@
         addClaim(m_daemons[claim.daemon].batcher, {{change, claim.record}, {}});
     }
 
-    void runOnce(told_claim &claim)
+    void runOnce(traced_claim &claim)
     {
         claim.hasRun = true;
         for (const auto &[owner, other] : m_claims) {
             if (owner != claim.record.owner && other.record.key == claim.record.key && other.hasRun) {
-                breakRule(fmt::format("{} ran twice: by {} and {}", claim.record.key, owner.value(), claim.record.owner.value()));
+                recordViolation(fmt::format("{} ran twice: by {} and {}", claim.record.key, owner.value(), claim.record.owner.value()));
             }
         }
     }
@@ -192,7 +192,7 @@
     bool mustBeFree(int key) const
     {
         for (const auto &[owner, claim] : m_claims) {
-            if (claim.record.key == fmt::format("key{}", key) && (claim.isGranted || !claim.isAnswered || claim.mayStand)) {
+            if (claim.record.key == fmt::format("key{}", key) && (claim.isGranted || !claim.isAnswered || claim.mayRemain)) {
                 return false;
             }
         }
@@ -204,7 +204,7 @@
         const auto end = m_now + time;
         while (m_now < end && m_violation.empty()) {
             m_now += duration(20);
-            landLateWrites();
+            applyLateWrites();
             for (std::size_t i = 0; i < m_daemons.size(); ++i) {
                 auto &daemon = m_daemons[i];
                 while (!daemon.answers.empty() && daemon.answers.front().first <= m_now) {
@@ -220,40 +220,40 @@
     void perform(fake_daemon &daemon, const std::vector<claim_action> &actions)
     {
         for (const auto &action : actions) {
-            if (const auto *answer = std::get_if<claim_answer>(&action)) {
-                hear(*answer);
+            if (const auto *answer = std::get_if<claim_result>(&action)) {
+                receive(*answer);
             } else if (const auto *write = std::get_if<write_shard>(&action)) {
-                answerLater(daemon, writeShard(*write));
+                scheduleAnswer(daemon, writeShard(*write));
             } else {
-                answerLater(daemon, readShard());
+                scheduleAnswer(daemon, readShard());
             }
         }
     }
 
-    void answerLater(fake_daemon &daemon, batcher_answer answer)
+    void scheduleAnswer(fake_daemon &daemon, batcher_callback answer)
     {
         daemon.answers.emplace_back(m_now + duration(static_cast<std::int64_t>(random() % 200)), std::move(answer));
     }
 
-    void hear(const claim_answer &answer)
+    void receive(const claim_result &answer)
     {
         auto &claim = m_claims.at(answer.owner);
         claim.isAnswered = true;
         claim.isGranted = answer.verdict == claim_verdict::granted;
         if (answer.verdict == claim_verdict::ran && !m_claims.at(answer.decidedBy.owner).hasRun) {
-            breakRule("a claim was said to have run although it did not");
+            recordViolation("a claim was said to have run although it did not");
         }
     }
 
-    batcher_answer readShard()
+    batcher_callback readShard()
     {
         if (m_now < m_downUntil) {
-            return [](claim_batcher &batcher, instant now) { return shardRead(batcher, std::nullopt, now); };
+            return [](claim_batcher &batcher, instant now) { return onShardRead(batcher, std::nullopt, now); };
         }
-        return [entry = m_store.get("shard")](claim_batcher &batcher, instant now) { return shardRead(batcher, entry, now); };
+        return [entry = m_store.get("shard")](claim_batcher &batcher, instant now) { return onShardRead(batcher, entry, now); };
     }
 
-    batcher_answer writeShard(const write_shard &write)
+    batcher_callback writeShard(const write_shard &write)
     {
         swap_result result;
         if (m_now < m_downUntil) {
@@ -261,18 +261,18 @@
         } else if (m_repliesToLose > 0) {
             --m_repliesToLose;
             result.outcome = swap_outcome::unknown;
-            m_late.push_back({m_now + duration(static_cast<std::int64_t>(random() % 4000)), write.expected, write.text});
+            m_lateWrites.push_back({m_now + duration(static_cast<std::int64_t>(random() % 4000)), write.expected, write.text});
         } else {
             result = m_store.swap("shard", write.expected, write.text);
         }
-        return [result](claim_batcher &batcher, instant now) { return shardWritten(batcher, result, now); };
+        return [result](claim_batcher &batcher, instant now) { return onShardWritten(batcher, result, now); };
     }
 
-    void landLateWrites()
+    void applyLateWrites()
     {
-        for (const auto &write : std::exchange(m_late, {})) {
+        for (const auto &write : std::exchange(m_lateWrites, {})) {
             if (write.at > m_now) {
-                m_late.push_back(write);
+                m_lateWrites.push_back(write);
             } else {
                 m_store.swap("shard", write.expected, write.text);
             }
@@ -281,8 +281,8 @@
 
     fake_key_value_store m_store;
     std::vector<fake_daemon> m_daemons;
-    std::vector<late_write> m_late;
-    std::map<request_id, told_claim> m_claims;
+    std::vector<late_write> m_lateWrites;
+    std::map<request_id, traced_claim> m_claims;
     instant m_now{duration(1000000)};
     instant m_downUntil;
     int m_repliesToLose = 0;
@@ -302,23 +302,23 @@
 
 } // namespace
 
-TEST_CASE("A keyed request runs at most once, and a key is never refused for ever", "[fuzz]")
+TEST_CASE("A request with an idempotency key runs at most once, and its key is not refused permanently", "[fuzz]")
 {
     int steps = 0;
     const auto property = [&steps] {
         const auto seed = *rc::gen::arbitrary<std::uint16_t>();
         const auto plan = *rc::gen::resize(rc::kNominalSize, rc::gen::container<std::vector<claim_step>>(stepsPerCase, anyStep()));
-        claim_world world(seed);
+        claim_simulation simulation(seed);
         for (const auto &step : plan) {
-            world.apply(step);
+            simulation.apply(step);
             ++steps;
-            if (!world.violation().empty()) {
-                RC_FAIL(world.violation() + " (step " + std::to_string(steps) + ")");
+            if (!simulation.violation().empty()) {
+                RC_FAIL(simulation.violation() + " (step " + std::to_string(steps) + ")");
             }
         }
-        world.finish();
-        if (!world.violation().empty()) {
-            RC_FAIL(world.violation() + " (step " + std::to_string(steps) + ")");
+        simulation.finish();
+        if (!simulation.violation().empty()) {
+            RC_FAIL(simulation.violation() + " (step " + std::to_string(steps) + ")");
         }
     };
     checkProperty("claims", fuzzSteps(casesInCi * stepsPerCase) / stepsPerCase, property);
