--- a/Tests/Requests/testCrashSuspects.cpp
+++ b/Tests/Requests/testCrashSuspects.cpp
@@ -19,166 +19,168 @@
 
 replica_end replica(std::uint64_t number)
 {
-    return endOf("i-" + std::to_string(number), 0);
+    return replicaEndOf("i-" + std::to_string(number), 0);
 }
 
-void noteEnds(crash_suspects &table, const request_identity &request, std::initializer_list<std::uint64_t> replicas)
+void recordReplicaEnds(crash_suspects &table, const request_identity &request, std::initializer_list<std::uint64_t> replicas)
 {
     for (const auto number : replicas) {
-        noteEnd(table, request, organisation, replica(number), start);
+        recordReplicaEnd(table, request, organisation, replica(number), start);
     }
 }
 
 } // namespace
 
-TEST_CASE("A request is refused once three replicas have ended under it, for ten minutes after the last")
+TEST_CASE("A request is refused once three replicas have terminated while it was there, for ten minutes after the last")
 {
     crash_suspects table;
-    noteEnds(table, deadly, {1, 2});
+    recordReplicaEnds(table, deadly, {1, 2});
     CHECK_FALSE(isRefused(table, deadly, start));
-    noteEnds(table, deadly, {2});
+    recordReplicaEnds(table, deadly, {2});
     CHECK_FALSE(isRefused(table, deadly, start));
-    noteEnds(table, deadly, {3});
+    recordReplicaEnds(table, deadly, {3});
     CHECK(refusedFor(table, deadly, start) == refusalTime);
     CHECK(isRefused(table, deadly, start + refusalTime - duration(1)));
     CHECK_FALSE(isRefused(table, deadly, start + refusalTime));
-    noteEnd(table, deadly, organisation, replica(4), start + refusalTime);
+    recordReplicaEnd(table, deadly, organisation, replica(4), start + refusalTime);
     CHECK(isRefused(table, deadly, start + refusalTime));
 }
 
-TEST_CASE("Another start of a replica is another end")
+TEST_CASE("Terminations of two incarnations of a replica have different ids")
 {
-    CHECK(endOf("i-1", 1) != endOf("i-1", 2));
-    CHECK(endOf("i-1", 1) == endOf("i-1", 1));
+    CHECK(replicaEndOf("i-1", 1) != replicaEndOf("i-1", 2));
+    CHECK(replicaEndOf("i-1", 1) == replicaEndOf("i-1", 1));
 }
 
-TEST_CASE("What was answered whole is innocent, and stays so where older word of it comes later")
+TEST_CASE("A completely answered request is cleared, and an older report does not make it a suspect again")
 {
     crash_suspects table;
-    noteEnds(table, harmless, {1, 2, 3});
-    const auto older = evidenceOf(harmless, table.suspects.at(harmless), start);
-    CHECK(noteAnswered(table, harmless));
+    recordReplicaEnds(table, harmless, {1, 2, 3});
+    const auto older = makeReport(harmless, table.suspects.at(harmless), start);
+    CHECK(clearSuspect(table, harmless));
     CHECK_FALSE(isRefused(table, harmless, start));
-    CHECK_FALSE(noteAnswered(table, harmless));
-    CHECK_FALSE(takeEvidence(table, older, start));
+    CHECK_FALSE(clearSuspect(table, harmless));
+    CHECK_FALSE(mergeReport(table, older, start));
     CHECK_FALSE(isRefused(table, harmless, start));
-    CHECK_FALSE(noteAnswered(table, request_identity("never seen")));
+    CHECK_FALSE(clearSuspect(table, request_identity("never seen")));
 }
 
-TEST_CASE("Ends that a refused request explains count against nobody who ran beside it")
+TEST_CASE("Terminations that a refused request explains do not count against requests that ran beside it")
 {
     crash_suspects table;
-    noteEnds(table, deadly, {1, 2, 3});
-    noteEnds(table, harmless, {1, 2, 9});
+    recordReplicaEnds(table, deadly, {1, 2, 3});
+    recordReplicaEnds(table, harmless, {1, 2, 9});
     CHECK(isRefused(table, deadly, start));
     CHECK_FALSE(isRefused(table, harmless, start));
 }
 
-TEST_CASE("Where one that ran beside the cause shares all of its ends, the next end tells them apart")
+TEST_CASE("If a request that ran beside the cause shares all of its terminations, the next termination separates them")
 {
     crash_suspects table;
-    noteEnds(table, deadly, {1, 2, 3});
-    noteEnds(table, harmless, {1, 2, 3});
+    recordReplicaEnds(table, deadly, {1, 2, 3});
+    recordReplicaEnds(table, harmless, {1, 2, 3});
     CHECK(isRefused(table, deadly, start) != isRefused(table, harmless, start));
-    noteEnds(table, deadly, {4});
+    recordReplicaEnds(table, deadly, {4});
     CHECK(isRefused(table, deadly, start));
     CHECK_FALSE(isRefused(table, harmless, start));
 }
 
-TEST_CASE("What three daemons have each seen once comes together")
+TEST_CASE("Terminations that three daemons have each seen once are merged")
 {
-    crash_suspects here;
-    noteEnds(here, deadly, {1});
+    crash_suspects local;
+    recordReplicaEnds(local, deadly, {1});
     for (const std::uint64_t number : {2, 3}) {
-        crash_suspects there;
-        noteEnds(there, deadly, {number});
-        CHECK(takeEvidence(here, evidenceOf(deadly, there.suspects.at(deadly), start), start));
+        crash_suspects remote;
+        recordReplicaEnds(remote, deadly, {number});
+        CHECK(mergeReport(local, makeReport(deadly, remote.suspects.at(deadly), start), start));
     }
-    CHECK(isRefused(here, deadly, start));
-    CHECK_FALSE(takeEvidence(here, evidenceOf(deadly, here.suspects.at(deadly), start), start));
+    CHECK(isRefused(local, deadly, start));
+    CHECK_FALSE(mergeReport(local, makeReport(deadly, local.suspects.at(deadly), start), start));
 }
 
-TEST_CASE("The table is bounded, and a caller with many requests that crash drives out his own alone")
+TEST_CASE("The table is bounded, and a client with many crashing requests displaces only its own")
 {
     crash_suspects table;
     const organisation_id flooding("flooding");
-    noteEnds(table, deadly, {1, 2, 3});
-    for (std::size_t number = 0; number < 3 * mostSuspects; ++number) {
-        noteEnd(table, request_identity("r" + std::to_string(number)), flooding, replica(number), start);
+    recordReplicaEnds(table, deadly, {1, 2, 3});
+    for (std::size_t number = 0; number < 3 * maxSuspects; ++number) {
+        recordReplicaEnd(table, request_identity("r" + std::to_string(number)), flooding, replica(number), start);
     }
-    CHECK(table.suspects.size() == mostSuspects);
-    CHECK(table.dropped == 2 * mostSuspects + 1);
+    CHECK(table.suspects.size() == maxSuspects);
+    CHECK(table.evicted == 2 * maxSuspects + 1);
     CHECK(isRefused(table, deadly, start));
-    // The oldest of equals went first.
-    noteEnd(table, request_identity("newest"), flooding, replica(1), start + duration(1));
+    // The oldest of those with as few terminations is evicted first.
+    recordReplicaEnd(table, request_identity("newest"), flooding, replica(1), start + duration(1));
     CHECK(table.suspects.contains(request_identity("newest")));
 }
 
-TEST_CASE("A suspect without a new end for an hour is forgotten")
+TEST_CASE("A suspect without a new termination for an hour is removed")
 {
     crash_suspects table;
-    noteEnds(table, deadly, {1, 2, 3});
-    forgetOld(table, start + suspicionLifetime - duration(1));
+    recordReplicaEnds(table, deadly, {1, 2, 3});
+    expireEntries(table, start + suspectLifetime - duration(1));
     CHECK(table.suspects.size() == 1);
-    forgetOld(table, start + suspicionLifetime);
+    expireEntries(table, start + suspectLifetime);
     CHECK(table.suspects.empty());
     CHECK(table.refused.empty());
 }
 
-TEST_CASE("An answer speaks for a request once, for half a minute, and the newest answers are remembered")
+TEST_CASE("An answer clears a request once, within half a minute, and the newest answers are remembered")
 {
     recent_answers answers;
-    noteAnswer(answers, harmless, start);
-    CHECK(takeAnswer(answers, harmless, start + answerMemory - duration(1)));
-    CHECK_FALSE(takeAnswer(answers, harmless, start));
-    noteAnswer(answers, harmless, start);
-    CHECK_FALSE(takeAnswer(answers, harmless, start + answerMemory));
-    noteAnswer(answers, harmless, start);
-    noteAnswer(answers, request_identity("twice"), start);
-    noteAnswer(answers, request_identity("twice"), start + duration(1));
-    for (std::size_t number = 0; number < mostAnswersKept - 1; ++number) {
-        noteAnswer(answers, request_identity("r" + std::to_string(number)), start + duration(2));
+    recordAnswer(answers, harmless, start);
+    CHECK(consumeAnswer(answers, harmless, start + recentAnswerLifetime - duration(1)));
+    CHECK_FALSE(consumeAnswer(answers, harmless, start));
+    recordAnswer(answers, harmless, start);
+    CHECK_FALSE(consumeAnswer(answers, harmless, start + recentAnswerLifetime));
+    recordAnswer(answers, harmless, start);
+    recordAnswer(answers, request_identity("twice"), start);
+    recordAnswer(answers, request_identity("twice"), start + duration(1));
+    for (std::size_t number = 0; number < maxRecentAnswers - 1; ++number) {
+        recordAnswer(answers, request_identity("r" + std::to_string(number)), start + duration(2));
     }
-    CHECK(answers.times.size() == mostAnswersKept);
-    CHECK_FALSE(takeAnswer(answers, harmless, start + duration(2)));
-    CHECK(takeAnswer(answers, request_identity("twice"), start + duration(2)));
+    CHECK(answers.times.size() == maxRecentAnswers);
+    CHECK_FALSE(consumeAnswer(answers, harmless, start + duration(2)));
+    CHECK(consumeAnswer(answers, request_identity("twice"), start + duration(2)));
 }
 
 namespace {
 
-/// Requests on a hundred replicas of which some end at random; one request may end whatever runs it. All repeat at another replica.
-class crash_day
+/// Simulates requests at a hundred replicas, some of which terminate at random. One request may crash every replica that runs it. All
+/// requests are retried at another replica.
+class crash_simulation
 {
 public:
-    explicit crash_day(unsigned seed)
+    explicit crash_simulation(unsigned seed)
         : m_random(seed)
     {
     }
 
-    /// Twenty-six requests are at each replica that ends; each goes on at another replica, twice at most, and is then answered.
-    void endAtRandom(int count)
+    /// Terminates \a count random replicas with 26 requests each. Each of the requests is retried at another replica, at most twice, and
+    /// then answered.
+    void terminateAtRandom(int count)
     {
-        for (int ended = 0; ended < count; ++ended) {
-            end(drawReplica());
+        for (int terminated = 0; terminated < count; ++terminated) {
+            terminate(randomReplica());
         }
-        settle();
+        answerSome();
     }
 
-    /// One request goes from replica to replica while it is not refused. Returns how many replicas it ends.
+    /// Sends the crashing request to up to \a sends replicas while it is not refused. Returns how many replicas it crashes.
     int sendDeadly(int sends)
     {
-        int ended = 0;
+        int terminated = 0;
         for (int number = 0; number < sends; ++number) {
-            const auto place = drawReplica();
+            const auto index = randomReplica();
             if (isRefused(m_table, deadly, start)) {
                 continue;
             }
-            noteEnd(m_table, deadly, organisation, endAt(place), start);
-            end(place);
-            ++ended;
-            settle();
+            recordReplicaEnd(m_table, deadly, organisation, currentEndAt(index), start);
+            terminate(index);
+            ++terminated;
+            answerSome();
         }
-        return ended;
+        return terminated;
     }
 
     int wronglyRefused() const
@@ -193,87 +195,86 @@
 
 private:
     static constexpr int replicas = 100;
-    static constexpr int requestsThere = 26;
-    static constexpr int mostRepeats = 2;
+    static constexpr int requestsPerReplica = 26;
+    static constexpr int maxRetries = 2;
 
-    struct moving
+    struct retried_request
     {
         request_identity request;
-        int repeats = 0;
+        int retries = 0;
     };
 
-    int drawReplica()
+    int randomReplica()
     {
         return static_cast<int>(m_random() % replicas);
     }
 
-    replica_end endAt(int place)
+    replica_end currentEndAt(int index)
     {
-        return endOf(fmt::format("i-{}", place), m_lives[place]);
+        return replicaEndOf(fmt::format("i-{}", index), m_incarnations[index]);
     }
 
-    void end(int place)
+    void terminate(int index)
     {
-        const auto which = endAt(place);
-        auto there = std::move(m_at[place]);
-        m_at[place].clear();
-        while (there.size() < requestsThere) {
-            there.push_back({request_identity(fmt::format("r{}", ++m_requests)), 0});
+        const auto currentEnd = currentEndAt(index);
+        auto affected = std::move(m_requestsAt[index]);
+        m_requestsAt[index].clear();
+        while (affected.size() < requestsPerReplica) {
+            affected.push_back({request_identity(fmt::format("r{}", ++m_requests)), 0});
         }
-        ++m_lives[place];
-        for (auto &request : there) {
-            noteEnd(m_table, request.request, organisation, which, start);
+        ++m_incarnations[index];
+        for (auto &request : affected) {
+            recordReplicaEnd(m_table, request.request, organisation, currentEnd, start);
             if (isRefused(m_table, request.request, start)) {
                 ++m_wronglyRefused;
-            } else if (++request.repeats <= mostRepeats) {
-                m_at[drawReplica()].push_back(request);
+            } else if (++request.retries <= maxRetries) {
+                m_requestsAt[randomReplica()].push_back(request);
             }
         }
     }
 
-    /// What moved is answered now, half of it: the other half runs on beside what comes.
-    void settle()
+    /// Answers a random half of the retried requests; the other half continues to run beside later ones.
+    void answerSome()
     {
-        for (auto &[place, there] : m_at) {
-            std::vector<moving> left;
-            for (const auto &request : there) {
+        for (auto &[index, affected] : m_requestsAt) {
+            std::vector<retried_request> unanswered;
+            for (const auto &request : affected) {
                 if (m_random() % 2 == 0) {
-                    left.push_back(request);
+                    unanswered.push_back(request);
                 } else {
-                    noteAnswered(m_table, request.request);
+                    clearSuspect(m_table, request.request);
                 }
             }
-            there = std::move(left);
+            affected = std::move(unanswered);
         }
     }
 
     std::mt19937 m_random;
     crash_suspects m_table;
-    std::map<int, std::vector<moving>> m_at;
-    std::map<int, std::uint64_t> m_lives;
+    std::map<int, std::vector<retried_request>> m_requestsAt;
+    std::map<int, std::uint64_t> m_incarnations;
     int m_requests = 0;
     int m_wronglyRefused = 0;
 };
 
 } // namespace
 
-TEST_CASE("Of the requests beside random ends and beside a request that ends replicas hardly any is refused")
+TEST_CASE("Hardly any request is refused for running beside random terminations or beside a request that crashes replicas")
 {
     int requests = 0;
-    int wrongly = 0;
-    int ended = 0;
-    constexpr int days = 40;
-    for (unsigned seed = 1; seed <= days; ++seed) {
-        crash_day day(seed);
-        day.endAtRandom(15);
-        ended += day.sendDeadly(20);
-        day.endAtRandom(15);
-        requests += day.requests();
-        wrongly += day.wronglyRefused();
+    int wrong = 0;
+    int terminated = 0;
+    constexpr int runs = 40;
+    for (unsigned seed = 1; seed <= runs; ++seed) {
+        crash_simulation simulation(seed);
+        simulation.terminateAtRandom(15);
+        terminated += simulation.sendDeadly(20);
+        simulation.terminateAtRandom(15);
+        requests += simulation.requests();
+        wrong += simulation.wronglyRefused();
     }
-    std::cout << days << " days with 30 random ends each: " << requests << " requests lost a replica, " << wrongly
-              << " of them refused wrongly; the request that ends replicas ended " << ended << "\n";
-    // Measured: 104 of 31,741.
-    CHECK(wrongly * 250 <= requests);
-    CHECK(ended <= days * 4);
+    std::cout << runs << " runs with 30 random terminations each: " << requests << " requests lost a replica, " << wrong
+              << " of them refused wrongly; replicas crashed by the crashing request: " << terminated << "\n";
+    CHECK(wrong * 250 <= requests);
+    CHECK(terminated <= runs * 4);
 }
--- a/Tests/Requests/testFairQueue.cpp
+++ b/Tests/Requests/testFairQueue.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// The naive version: one list, tags by the definition of start-time fair queueing, the next found by looking at all.
-struct naive_queue
+/// A reference implementation: one list, tags by the definition of start-time fair queueing, and a linear search for the next request.
+struct reference_queue
 {
     struct entry
     {
@@ -63,26 +63,26 @@
 
 } // namespace
 
-TEST_CASE("The fair queue gives the same order as its naive version", "[fuzz]")
+TEST_CASE("The fair queue serves requests in the same order as the reference implementation", "[fuzz]")
 {
     constexpr int stepsPerCase = 200;
     const auto property = [] {
         const auto plan
             = *rc::gen::resize(rc::kNominalSize, rc::gen::container<std::vector<int>>(stepsPerCase, rc::gen::inRange(0, 100000)));
         fair_queue queue;
-        naive_queue naive;
+        reference_queue reference;
         std::uint64_t ticket = 0;
         for (const auto step : plan) {
             if (step % 5 < 3) {
                 const auto request = requestOf(++ticket, step / 5 % 4, step / 20 % 3, 1 + step / 60 % 100);
                 enqueue(queue, request);
-                naive.add(request);
+                reference.add(request);
                 continue;
             }
             const auto taken = dequeue(queue, instant(duration(1)));
-            const auto expected = naive.next();
+            const auto expected = reference.next();
             RC_ASSERT(taken.has_value() == expected.has_value());
-            // RC_ASSERT evaluates both sides of an "or": the tickets are compared outside of it.
+            // RC_ASSERT evaluates both operands of ||, so the tickets are compared outside of it.
             const bool isSame = !taken || taken->ticket == *expected;
             RC_ASSERT(isSame);
         }
@@ -90,13 +90,13 @@
     checkProperty("fair queue", fuzzSteps(10000) / stepsPerCase, property);
 }
 
-TEST_CASE("Organisations that always wait get tokens in proportion to their weights")
+TEST_CASE("Organisations with constant demand get tokens in proportion to their weights")
 {
     fair_queue queue;
-    queue.limits.longest = 100000;
+    queue.limits.maxLength = 100000;
     std::uint64_t ticket = 0;
     for (int i = 0; i < 4000; ++i) {
-        // The first floods with large requests, the second asks for small ones at three times the weight.
+        // The first organisation sends large requests, the second small ones with three times the weight.
         enqueue(queue, requestOf(++ticket, 0, 1, 100));
         enqueue(queue, requestOf(++ticket, 2, 1, 10));
     }
@@ -108,14 +108,14 @@
     CHECK(served.at(organisation_id("o2")) / served.at(organisation_id("o0")) == Approx(3).epsilon(0.02));
 }
 
-TEST_CASE("An organisation is not charged for requests that expired before their turn")
+TEST_CASE("An organisation is not charged for requests that expired while they waited")
 {
     fair_queue queue;
     std::uint64_t ticket = 0;
     for (int i = 0; i < 100; ++i) {
-        auto doomed = requestOf(++ticket, 0, 1, 1000);
-        doomed.deadline = instant(duration(10));
-        enqueue(queue, doomed);
+        auto expiring = requestOf(++ticket, 0, 1, 1000);
+        expiring.deadline = instant(duration(10));
+        enqueue(queue, expiring);
     }
     removeExpired(queue, instant(duration(20)));
     enqueue(queue, requestOf(++ticket, 1, 1, 100));
@@ -126,7 +126,7 @@
     CHECK((first == organisation_id("o0") || second == organisation_id("o0")));
 }
 
-TEST_CASE("A queue that was empty for long does not take its idle time for slowness")
+TEST_CASE("The idle time of an empty queue does not reduce the measured rate")
 {
     fair_queue queue;
     auto first = requestOf(1, 0, 1, 400);
@@ -141,7 +141,7 @@
     CHECK(expectedWait(queue, second) == duration(500));
 }
 
-TEST_CASE("Places are kept for the priorities above, as far as they have asked for them")
+TEST_CASE("Slots are reserved for higher priorities in proportion to their demand")
 {
     fair_queue queue;
     std::uint64_t ticket = 0;
@@ -160,7 +160,7 @@
     CHECK(reservedShare(queue, 1) < 0.2);
 }
 
-TEST_CASE("A higher priority always goes first, and expired requests leave the queue")
+TEST_CASE("A higher priority is always served first, and expired requests are removed")
 {
     fair_queue queue;
     auto low = requestOf(1, 0, 1, 1);
@@ -172,10 +172,10 @@
     CHECK(queue.length == 0);
 }
 
-TEST_CASE("A full queue refuses, and a request that gave up leaves its place")
+TEST_CASE("A full queue refuses requests, and a cancelled request frees its entry")
 {
     fair_queue queue;
-    queue.limits.longest = 1;
+    queue.limits.maxLength = 1;
     CHECK(enqueue(queue, requestOf(1, 0, 1, 1)));
     CHECK_FALSE(enqueue(queue, requestOf(2, 0, 1, 1)));
     CHECK(removeTicket(queue, 1));
--- a/Tests/Requests/testLifecycleFuzz.cpp
+++ b/Tests/Requests/testLifecycleFuzz.cpp
@@ -14,7 +14,7 @@
 constexpr int faultsPerCase = 24;
 constexpr int casesInCi = 6000;
 
-/// What an engine or the network does to one connection.
+/// A fault of an engine or the network on one connection.
 enum class connection_fault {
     none,
     cannot_connect,
@@ -30,18 +30,18 @@
     count
 };
 
-/// The engines' truth about one request.
-struct engine_truth
+/// The actual state of one request at the engines.
+struct engine_state
 {
     int runs = 0;
     bool canResume = false;
 };
 
-/// What the caller was told in the end.
-struct told_answer
+/// What the client received.
+struct received_answer
 {
     std::string text;
-    bool isWhole = false;
+    bool isComplete = false;
     error_kind kind = error_kind::internal;
 };
 
@@ -50,7 +50,7 @@
     return fmt::format("w{} ", index);
 }
 
-std::string wholeAnswer()
+std::string completeAnswer()
 {
     std::string text;
     for (std::uint64_t i = 0; i < answerLength; ++i) {
@@ -59,31 +59,31 @@
     return text;
 }
 
-/// The lines that one connection brings, under one fault.
-std::vector<answer_piece> linesUnder(connection_fault fault, const answer_progress &progress, int where)
+/// Returns the lines that one connection delivers under one fault.
+std::vector<answer_chunk> linesWithFault(connection_fault fault, const answer_progress &progress, int cutPosition)
 {
-    std::vector<answer_piece> lines;
-    const auto cut = progress.nextIndex + static_cast<std::uint64_t>(where) % answerLength;
+    std::vector<answer_chunk> lines;
+    const auto cut = progress.nextIndex + static_cast<std::uint64_t>(cutPosition) % answerLength;
     for (auto index = progress.nextIndex; index < answerLength; ++index) {
-        answer_piece piece{
+        answer_chunk chunk{
             progress.request, progress.group, progress.expected, index, wordAt(index), index + 1 == answerLength ? "stop" : "", false};
         if (index == cut && fault == connection_fault::breaks_off) {
             return lines;
         }
         if (index == cut && fault == connection_fault::foreign_id) {
-            piece.request = request_id("another");
-            piece.text = "another client's figures";
+            chunk.request = request_id("another");
+            chunk.text = "another client's figures";
         }
         if (index == cut && fault == connection_fault::foreign_generation) {
-            piece.sender = generation(99);
-            piece.text = "another group's";
+            chunk.sender = generation(99);
+            chunk.text = "another group's";
         }
         if (index == cut && fault == connection_fault::skips) {
             continue;
         }
-        lines.push_back(piece);
+        lines.push_back(chunk);
         if (index == cut && fault == connection_fault::duplicates) {
-            lines.push_back(piece);
+            lines.push_back(chunk);
         }
     }
     if (fault != connection_fault::no_end_marker) {
@@ -95,11 +95,11 @@
     return lines;
 }
 
-/// One request through tries, resumptions and continuations, by the very functions that the daemon uses.
-class lifecycle_run
+/// Runs one request through attempts, resumptions and continuations, with the same functions that the daemon uses.
+class request_simulation
 {
 public:
-    lifecycle_run(bool isRepeatable, const std::vector<int> &faults)
+    request_simulation(bool isRepeatable, const std::vector<int> &faults)
         : m_faults(faults)
     {
         m_progress.isRepeatable = isRepeatable;
@@ -110,30 +110,30 @@
         m_answer.expected = generation(7);
     }
 
-    told_answer run()
+    received_answer run()
     {
-        ++m_progress.tries;
+        ++m_progress.attempts;
         bool isResuming = false;
         for (;;) {
             m_now += duration(1000);
             const auto failure = connect(isResuming);
             if (!failure) {
-                m_told.isWhole = true;
-                return m_told;
+                m_received.isComplete = true;
+                return m_received;
             }
-            const auto next = afterFailure(m_progress, *failure, true, m_now);
+            const auto next = planRecovery(m_progress, *failure, true, m_now);
             if (next.step == recovery_step::give_up) {
-                m_told.kind = next.kind;
-                return m_told;
+                m_received.kind = next.kind;
+                return m_received;
             }
             isResuming = next.step == recovery_step::resume;
-            m_progress.tries += isResuming ? 0 : 1;
+            m_progress.attempts += isResuming ? 0 : 1;
         }
     }
 
-    const engine_truth &truth() const
+    const engine_state &engineState() const
     {
-        return m_truth;
+        return m_engineState;
     }
 
     int faultsUsed() const
@@ -142,80 +142,80 @@
     }
 
 private:
-    /// One connection; nothing where the answer came whole.
-    std::optional<try_failure> connect(bool isResuming)
+    /// Simulates one connection. Returns nothing if the answer was completed.
+    std::optional<attempt_failure> connect(bool isResuming)
     {
         const int choice = m_next < m_faults.size() ? m_faults[m_next++] : 0;
         const auto fault = static_cast<connection_fault>(choice % static_cast<int>(connection_fault::count));
         if (fault == connection_fault::cannot_connect) {
-            return try_failure::not_sent;
+            return attempt_failure::not_sent;
         }
-        if (isResuming && !m_truth.canResume) {
-            return try_failure::failed;
+        if (isResuming && !m_engineState.canResume) {
+            return attempt_failure::failed;
         }
         if (fault == connection_fault::refused && !isResuming) {
-            return try_failure::refused;
+            return attempt_failure::refused;
         }
-        m_truth.runs += isResuming ? 0 : 1;
-        m_truth.canResume = choice % 3 != 0;
+        m_engineState.runs += isResuming ? 0 : 1;
+        m_engineState.canResume = choice % 3 != 0;
         if (fault == connection_fault::no_answer) {
-            return try_failure::no_answer;
+            return attempt_failure::no_answer;
         }
-        return follow(linesUnder(fault, m_answer, choice));
+        return readLines(linesWithFault(fault, m_answer, choice));
     }
 
-    std::optional<try_failure> follow(const std::vector<answer_piece> &lines)
+    std::optional<attempt_failure> readLines(const std::vector<answer_chunk> &lines)
     {
         for (const auto &line : lines) {
-            switch (takePiece(m_answer, line)) {
-            case piece_verdict::deliver:
-                m_told.text += line.text;
+            switch (checkChunk(m_answer, line)) {
+            case chunk_verdict::deliver:
+                m_received.text += line.text;
                 m_progress.delivered = m_answer.nextIndex;
                 break;
-            case piece_verdict::complete:
+            case chunk_verdict::complete:
                 return std::nullopt;
-            case piece_verdict::duplicate:
+            case chunk_verdict::duplicate:
                 break;
-            case piece_verdict::foreign:
-            case piece_verdict::gap:
-                return try_failure::foreign;
+            case chunk_verdict::foreign:
+            case chunk_verdict::gap:
+                return attempt_failure::foreign;
             }
         }
-        return try_failure::broke_off;
+        return attempt_failure::broke_off;
     }
 
     std::vector<int> m_faults;
     std::size_t m_next = 0;
     request_progress m_progress;
     answer_progress m_answer;
-    engine_truth m_truth;
-    told_answer m_told;
+    engine_state m_engineState;
+    received_answer m_received;
     instant m_now;
 };
 
 } // namespace
 
-TEST_CASE("A caller gets its own whole answer or a truthful refusal, whatever the connections do", "[fuzz]")
+TEST_CASE("A client gets its own complete answer or an accurate error, whatever faults the connections have", "[fuzz]")
 {
     int steps = 0;
     const auto property = [&steps] {
         const auto isRepeatable = *rc::gen::arbitrary<bool>();
         const auto faults
             = *rc::gen::resize(rc::kNominalSize, rc::gen::container<std::vector<int>>(faultsPerCase, rc::gen::inRange(0, 66)));
-        lifecycle_run run(isRepeatable, faults);
-        const auto told = run.run();
+        request_simulation run(isRepeatable, faults);
+        const auto received = run.run();
         steps += run.faultsUsed();
         const auto at = " (step " + std::to_string(steps) + ")";
-        if (wholeAnswer().rfind(told.text, 0) != 0) {
-            RC_FAIL("the caller saw what is no part of its answer: " + told.text + at);
+        if (completeAnswer().rfind(received.text, 0) != 0) {
+            RC_FAIL("the caller saw what is no part of its answer: " + received.text + at);
         }
-        if (told.isWhole && told.text != wholeAnswer()) {
+        if (received.isComplete && received.text != completeAnswer()) {
             RC_FAIL("an answer was called whole although it is not" + at);
         }
-        if (!told.isWhole && errorAnswer(told.kind).ran == run_state::not_run && run.truth().runs > 0) {
+        if (!received.isComplete && errorAnswer(received.kind).ran == run_state::not_run && run.engineState().runs > 0) {
             RC_FAIL("a request that ran was refused as not run" + at);
         }
-        if (!isRepeatable && run.truth().runs > 1) {
+        if (!isRepeatable && run.engineState().runs > 1) {
             RC_FAIL("a request that may run once ran twice" + at);
         }
     };
@@ -223,27 +223,27 @@
     WARN("steps: " << steps);
 }
 
-TEST_CASE("A stream that breaks often but comes on is taken up every time")
+TEST_CASE("A stream that breaks often but makes progress is resumed every time")
 {
     request_progress progress;
     progress.isRepeatable = false;
     progress.isResumable = true;
-    progress.tries = 1;
+    progress.attempts = 1;
     progress.deadline = instant(duration(100000));
-    for (int piece = 1; piece < 20; ++piece) {
+    for (int chunk = 1; chunk < 20; ++chunk) {
         ++progress.delivered;
-        CHECK(afterFailure(progress, try_failure::broke_off, false, instant()).step == recovery_step::resume);
+        CHECK(planRecovery(progress, attempt_failure::broke_off, false, instant()).step == recovery_step::resume);
     }
-    CHECK(afterFailure(progress, try_failure::broke_off, false, instant()).step == recovery_step::resume);
-    // Two in a row that bring nothing are enough.
-    CHECK(afterFailure(progress, try_failure::broke_off, false, instant()).step == recovery_step::give_up);
+    CHECK(planRecovery(progress, attempt_failure::broke_off, false, instant()).step == recovery_step::resume);
+    // Two consecutive resumptions without a token are the maximum.
+    CHECK(planRecovery(progress, attempt_failure::broke_off, false, instant()).step == recovery_step::give_up);
 }
 
-TEST_CASE("A request that has run its deadline out is refused as not run only if no try was sent")
+TEST_CASE("A request whose deadline has passed is refused as not run only if no attempt was sent")
 {
     request_progress progress;
     progress.deadline = instant(duration(1000));
-    CHECK(afterFailure(progress, try_failure::not_sent, true, instant(duration(2000))).kind == error_kind::queue_deadline);
-    CHECK(afterFailure(progress, try_failure::no_answer, true, instant(duration(2000))).kind == error_kind::deadline_exceeded);
-    CHECK(afterFailure(progress, try_failure::refused, true, instant(duration(2000))).kind == error_kind::deadline_exceeded);
+    CHECK(planRecovery(progress, attempt_failure::not_sent, true, instant(duration(2000))).kind == error_kind::queue_deadline);
+    CHECK(planRecovery(progress, attempt_failure::no_answer, true, instant(duration(2000))).kind == error_kind::deadline_exceeded);
+    CHECK(planRecovery(progress, attempt_failure::refused, true, instant(duration(2000))).kind == error_kind::deadline_exceeded);
 }
--- a/Tests/Requests/testLoadShedding.cpp
+++ b/Tests/Requests/testLoadShedding.cpp
@@ -9,63 +9,63 @@
 
 const instant start(duration(1000000));
 
-/// First events for a while, of which so many of ten are late.
-instant hear(load_shedding &state, instant from, duration time, int lateOfTen)
+/// Records a first event every 50 ms for \a time, of which \a lateOfTen in ten are late. Returns the time after the last one.
+instant recordEvents(load_shedding &state, instant from, duration time, int lateOfTen)
 {
     int number = 0;
     auto now = from;
     for (; now < from + time; now += duration(50)) {
-        noteFirstEvent(state, number++ % 10 < lateOfTen, now);
+        recordFirstEvent(state, number++ % 10 < lateOfTen, now);
     }
     return now;
 }
 
 } // namespace
 
-TEST_CASE("All requests are taken on while some groups are late")
+TEST_CASE("All requests are admitted while only some groups are late")
 {
     load_shedding state;
-    hear(state, start, duration(10000), 5);
-    CHECK(state.share == 1);
+    recordEvents(state, start, duration(10000), 5);
+    CHECK(state.admittedShare == 1);
     CHECK(isAdmitted(state, 0.999, start + duration(10000)));
 }
 
-TEST_CASE("While most first events are late a part is refused, and never more than about a third")
+TEST_CASE("While most first events are late some requests are refused, but never more than about a third")
 {
     load_shedding state;
-    auto now = hear(state, start, duration(1100), 9);
-    CHECK(state.share < 0.9);
-    now = hear(state, now, duration(20000), 10);
-    CHECK(state.share == 0.65);
+    auto now = recordEvents(state, start, duration(1100), 9);
+    CHECK(state.admittedShare < 0.9);
+    now = recordEvents(state, now, duration(20000), 10);
+    CHECK(state.admittedShare == 0.65);
     CHECK(isAdmitted(state, 0.6, now));
     CHECK(!isAdmitted(state, 0.7, now));
 }
 
-TEST_CASE("It is calm while one first event in twenty is late, and not while every third is")
+TEST_CASE("There is spare capacity while one first event in twenty is late, but not while one in three is")
 {
     load_shedding state;
-    CHECK(isCalm(state));
+    CHECK(hasSpareCapacity(state));
     auto now = start;
     for (int i = 0; i < 200; ++i) {
         now += duration(50);
-        noteFirstEvent(state, i % 20 == 0, now);
+        recordFirstEvent(state, i % 20 == 0, now);
     }
-    CHECK(isCalm(state));
-    now = hear(state, now, duration(1000), 3);
-    CHECK_FALSE(isCalm(state));
-    hear(state, now, duration(4000), 0);
-    CHECK(isCalm(state));
+    CHECK(hasSpareCapacity(state));
+    now = recordEvents(state, now, duration(1000), 3);
+    CHECK_FALSE(hasSpareCapacity(state));
+    recordEvents(state, now, duration(4000), 0);
+    CHECK(hasSpareCapacity(state));
 }
 
-TEST_CASE("All are taken on again soon after the queue has gone, or nothing is known any more")
+TEST_CASE("All requests are admitted again soon after the queue has drained, or after a time without first events")
 {
     load_shedding state;
-    auto now = hear(state, start, duration(10000), 10);
-    const auto atLeast = state;
+    auto now = recordEvents(state, start, duration(10000), 10);
+    const auto lowestState = state;
     CHECK(isAdmitted(state, 0.999, now + duration(3100)));
-    now = hear(state, now, duration(6000), 1);
-    CHECK(state.share == 1);
-    auto later = atLeast;
-    noteFirstEvent(later, true, now + duration(20000));
-    CHECK(later.share == 1);
+    now = recordEvents(state, now, duration(6000), 1);
+    CHECK(state.admittedShare == 1);
+    auto later = lowestState;
+    recordFirstEvent(later, true, now + duration(20000));
+    CHECK(later.admittedShare == 1);
 }
--- a/Tests/Requests/testReplicaNotice.cpp
+++ b/Tests/Requests/testReplicaNotice.cpp
@@ -5,30 +5,30 @@
 
 using namespace vetchpost;
 
-TEST_CASE("A time of rest may be whole, a fraction, huge, negative or no number at all")
+TEST_CASE("A backoff may be an integer, a fraction, huge, negative or not a number")
 {
-    CHECK(restOf("3") == duration(3000));
-    CHECK(restOf("0.25") == duration(250));
-    CHECK(restOf("0.0004") == duration(1));
-    CHECK(restOf("1e9") == unreadableRest);
-    CHECK(restOf("99999999999999999999") == longestRest);
-    CHECK_FALSE(restOf(""));
-    CHECK_FALSE(restOf("0"));
-    CHECK_FALSE(restOf("-5"));
-    CHECK(restOf("Fri, 31 Dec 2027 23:59:59 GMT") == unreadableRest);
-    CHECK(restOf("nan") == unreadableRest);
-    CHECK(restOf("inf") == unreadableRest);
-    CHECK(restOf("3s") == unreadableRest);
+    CHECK(parseBackoff("3") == duration(3000));
+    CHECK(parseBackoff("0.25") == duration(250));
+    CHECK(parseBackoff("0.0004") == duration(1));
+    CHECK(parseBackoff("1e9") == unreadableBackoff);
+    CHECK(parseBackoff("99999999999999999999") == maxBackoff);
+    CHECK_FALSE(parseBackoff(""));
+    CHECK_FALSE(parseBackoff("0"));
+    CHECK_FALSE(parseBackoff("-5"));
+    CHECK(parseBackoff("Fri, 31 Dec 2027 23:59:59 GMT") == unreadableBackoff);
+    CHECK(parseBackoff("nan") == unreadableBackoff);
+    CHECK(parseBackoff("inf") == unreadableBackoff);
+    CHECK(parseBackoff("3s") == unreadableBackoff);
 }
 
-TEST_CASE("A limit is a decimal number from a least rate on")
+TEST_CASE("A rate limit is a decimal number, raised to a minimum rate")
 {
-    CHECK(rateLimitOf("1.2") == 1.2);
-    CHECK(rateLimitOf("0") == leastRateLimit);
-    CHECK(rateLimitOf("100") == 100);
-    CHECK_FALSE(rateLimitOf(""));
-    CHECK_FALSE(rateLimitOf("-1"));
-    CHECK_FALSE(rateLimitOf("junk"));
-    CHECK_FALSE(rateLimitOf("1.2 a second"));
-    CHECK_FALSE(rateLimitOf("nan"));
+    CHECK(parseRateLimit("1.2") == 1.2);
+    CHECK(parseRateLimit("0") == minRateLimit);
+    CHECK(parseRateLimit("100") == 100);
+    CHECK_FALSE(parseRateLimit(""));
+    CHECK_FALSE(parseRateLimit("-1"));
+    CHECK_FALSE(parseRateLimit("junk"));
+    CHECK_FALSE(parseRateLimit("1.2 a second"));
+    CHECK_FALSE(parseRateLimit("nan"));
 }
--- a/Tests/Requests/testRequestIdentity.cpp
+++ b/Tests/Requests/testRequestIdentity.cpp
@@ -5,7 +5,7 @@
 
 using namespace vetchpost;
 
-TEST_CASE("A request is known again by organisation, method, host, target and body, and by nothing less")
+TEST_CASE("The identity of a request depends on organisation, method, host, target, body and key")
 {
     const auto key = makeIdentityKey();
     REQUIRE(parseIdentityKey(key.value()) == key);
@@ -20,7 +20,7 @@
     CHECK(identityOf(key, {organisation_id("o"), "POST", "a.example", "/x", "bod"}) != same);
 }
 
-TEST_CASE("What is no key is not taken for one")
+TEST_CASE("A malformed key is rejected")
 {
     CHECK_FALSE(parseIdentityKey(""));
     CHECK_FALSE(parseIdentityKey("abcd"));
--- a/Tests/Requests/testRouter.cpp
+++ b/Tests/Requests/testRouter.cpp
@@ -28,17 +28,17 @@
 
 std::optional<std::size_t> choose(const std::vector<replica_load> &replicas, std::uint64_t prefix, std::mt19937_64 &random)
 {
-    std::vector<std::uint64_t> places;
+    std::vector<std::uint64_t> ringPositions;
     for (std::size_t i = 0; i < replicas.size(); ++i) {
-        places.push_back(hashOf("group" + std::to_string(i)));
+        ringPositions.push_back(hashOf("group" + std::to_string(i)));
     }
-    std::sort(places.begin(), places.end());
-    return chooseReplica({places, [&](std::size_t place) { return replicas[place]; }}, prefix, {}, random);
+    std::sort(ringPositions.begin(), ringPositions.end());
+    return chooseReplica({ringPositions, [&](std::size_t index) { return replicas[index]; }}, prefix, {}, random);
 }
 
 } // namespace
 
-TEST_CASE("A choice is never excluded or full, and there is one whenever the naive search finds one", "[fuzz]")
+TEST_CASE("A chosen replica is never excluded or full, and one is found whenever a linear search finds one", "[fuzz]")
 {
     const auto property = [] {
         const auto loads = *rc::gen::resize(40, rc::gen::nonEmpty(rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 100))));
@@ -53,14 +53,14 @@
         std::mt19937_64 random(7);
         const auto chosen = choose(replicas, prefix, random);
         RC_ASSERT(chosen.has_value() == hasAny);
-        // RC_ASSERT evaluates both sides of an "or": the choice is looked at outside of it.
-        const bool isGood = !chosen || (!replicas[*chosen].isExcluded && replicas[*chosen].inFlight < replicas[*chosen].limit);
-        RC_ASSERT(isGood);
+        // RC_ASSERT evaluates both operands of ||, so the choice is checked outside of it.
+        const bool isValid = !chosen || (!replicas[*chosen].isExcluded && replicas[*chosen].inFlight < replicas[*chosen].limit);
+        RC_ASSERT(isValid);
     };
     checkProperty("router", 300, property);
 }
 
-TEST_CASE("A prefix goes to the same replica until that one has too much work")
+TEST_CASE("A prefix is sent to the same replica until that replica is overloaded")
 {
     auto replicas = replicasOf(std::vector<int>(20, 4));
     std::mt19937_64 random(7);
@@ -70,7 +70,7 @@
     CHECK(choose(replicas, 42, random) != first);
 }
 
-TEST_CASE("A slow replica gets less than its share of new work")
+TEST_CASE("A slow replica gets less than its share of new requests")
 {
     auto replicas = replicasOf(std::vector<int>(10, 2));
     for (auto &replica : replicas) {
@@ -82,50 +82,50 @@
     for (int i = 0; i < 1000; ++i) {
         toSlow += choose(replicas, 0, random) == std::size_t(3) ? 1 : 0;
     }
-    // Only where both random choices fall on it: one in a hundred.
+    // It is chosen only if both random choices are this replica, which happens once in a hundred times.
     CHECK(toSlow < 30);
 }
 
-TEST_CASE("A replica's limit falls with slow first tokens and rises only while it is used")
+TEST_CASE("A replica's limit falls with slow first tokens and rises only while it is used up")
 {
     replica_limit limit;
     const auto start = limit.value;
-    noteFirstToken(limit, duration(100), 1, instant(duration(5000)));
+    recordFirstToken(limit, duration(100), 1, instant(duration(5000)));
     CHECK(limit.value == start);
-    noteFirstToken(limit, duration(100), 16, instant(duration(5000)));
+    recordFirstToken(limit, duration(100), 16, instant(duration(5000)));
     CHECK(limit.value > start);
-    noteFirstToken(limit, duration(900), 8, instant(duration(6000)));
+    recordFirstToken(limit, duration(900), 8, instant(duration(6000)));
     const auto lowered = limit.value;
     CHECK(lowered < start);
-    noteReport(limit, {8, 0, 1, 8}, instant(duration(9000)));
+    applyReport(limit, {8, 0, 1, 8}, instant(duration(9000)));
     CHECK(limit.value == lowered);
-    // The answers to the same burst of work lower it once.
-    noteFirstToken(limit, duration(900), 8, instant(duration(6100)));
+    // The answers to one burst of work decrease it once.
+    recordFirstToken(limit, duration(900), 8, instant(duration(6100)));
     CHECK(limit.value == lowered);
 }
 
-TEST_CASE("What queues at a replica is taken back, each daemon its part")
+TEST_CASE("The limit falls by this daemon's share of the requests queued at the replica")
 {
     replica_limit limit;
-    noteReport(limit, {20, 4, 0.5, 10}, instant(duration(5000)));
+    applyReport(limit, {20, 4, 0.5, 10}, instant(duration(5000)));
     CHECK(limit.value == 14);
-    // The same queue in the next reports does not take it below what runs there.
+    // The same queue in later reports does not decrease it below the running requests.
     for (int second = 7; second < 20; ++second) {
-        noteReport(limit, {20, 4, 0.5, 10}, instant(duration(second * 1000)));
+        applyReport(limit, {20, 4, 0.5, 10}, instant(duration(second * 1000)));
     }
     CHECK(limit.value == 10);
 }
 
-TEST_CASE("A limit that long streams fill rises while nothing queues at the replica")
+TEST_CASE("A limit that is used up by long streams rises while nothing is queued at the replica")
 {
     replica_limit limit;
-    noteFirstToken(limit, duration(900), 16, instant(duration(1000)));
+    recordFirstToken(limit, duration(900), 16, instant(duration(1000)));
     const auto lowered = limit.value;
-    noteReport(limit, {13, 0, 1, 2}, instant(duration(2000)));
+    applyReport(limit, {13, 0, 1, 2}, instant(duration(2000)));
     CHECK(limit.value == lowered);
     for (int second = 3; second < 33; ++second) {
         const auto used = static_cast<int>(limit.value + 1);
-        noteReport(limit, {used, 0, 1, used}, instant(duration(second * 1000)));
+        applyReport(limit, {used, 0, 1, used}, instant(duration(second * 1000)));
     }
     CHECK(limit.value > 10 * lowered);
 }
@@ -147,14 +147,14 @@
     checkProperty("limit split", 200, property);
 }
 
-TEST_CASE("A token bucket lets its rate through and no more")
+TEST_CASE("A token bucket admits its rate and no more")
 {
     token_bucket bucket;
     bucket.rate = 100;
-    int through = 0;
+    int admitted = 0;
     for (int millisecond = 0; millisecond < 10000; ++millisecond) {
-        through += takeTokens(bucket, 10, millisecond) ? 10 : 0;
+        admitted += consumeTokens(bucket, 10, millisecond) ? 10 : 0;
     }
-    CHECK(through <= 1000 + 100 + 10);
-    CHECK(through >= 900);
+    CHECK(admitted <= 1000 + 100 + 10);
+    CHECK(admitted >= 900);
 }
--- a/Tests/Routing/testTurnedAway.cpp
+++ b/Tests/Routing/testTurnedAway.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // A third of the daemons is turned away by the key-value service for nine seconds, in which the configuration changes: what do the callers
 // get? Callers, balancer and daemons in virtual time, by the decisions that the daemons make.
-#include "Libraries/Requests/come_back.h"
+#include "Libraries/Requests/retry_after.h"
 #include "Libraries/Routing/key_bound.h"
 
 #include <catch2/catch.hpp>
@@ -129,10 +129,10 @@
             finish(each, now);
             connect(each);
         } else {
-            const auto reach = reachOfStaleConfiguration(true, false, isLeftBehind(known, now));
+            const auto reach = scopeOfStaleConfiguration(true, false, isLeftBehind(known, now));
             each.asked = now;
             each.hasComeBack = true;
-            each.next = now + comeBackAfter(reach, m_random()) + connectTime;
+            each.next = now + retryAfterFor(reach, m_random()) + connectTime;
             connect(each);
         }
     }
--- a/Tests/Soak/client_connection.cpp
+++ b/Tests/Soak/client_connection.cpp
@@ -18,7 +18,7 @@
 constexpr duration connectTimeout(1000);
 constexpr auto headEnd = "\r\n\r\n";
 /// How soon a client notices that it wants to leave.
-constexpr duration lookPeriod(20);
+constexpr duration evaluationPeriod(20);
 
 /// False where it is no answer's head.
 bool readHead(const std::string &head, client_answer &answer)
@@ -90,7 +90,7 @@
             if (leaves(answer.body)) {
                 return answer_end::left;
             }
-            const auto bytes = receive(lookPeriod);
+            const auto bytes = receive(evaluationPeriod);
             if (!bytes) {
                 return decoder && decoder->takeEnd() == body_decoder::state::complete ? answer_end::whole : answer_end::broken;
             }
--- a/Tests/Soak/soak_client.cpp
+++ b/Tests/Soak/soak_client.cpp
@@ -164,7 +164,7 @@
 }
 
 /// As the platform's clients: what may have run is sent again only where that does no harm.
-bool mayTryAgain(const attempt_fact &attempt)
+bool mayRetry(const attempt_fact &attempt)
 {
     constexpr int firstServerError = 500;
     if (attempt.kind == request_kind::probe || attempt.end == attempt_end::answered || attempt.end == attempt_end::left) {
@@ -387,7 +387,7 @@
             wanted.lastEvent = reading.lastEvent;
             wanted.events = reading.of;
         }
-        if (!mayTryAgain(attempt)) {
+        if (!mayRetry(attempt)) {
             return std::nullopt;
         }
         constexpr double millisecondsPerSecond = 1000;
--- a/Tests/StandIns/platform/entry_writer.cpp
+++ b/Tests/StandIns/platform/entry_writer.cpp
@@ -16,7 +16,7 @@
 
 namespace names = platform_names;
 
-constexpr duration lookPeriod(10);
+constexpr duration evaluationPeriod(10);
 constexpr duration callTimeout(500);
 /// An entry lapses after as many heartbeats without a write.
 constexpr int heartbeatsKept = 3;
@@ -49,10 +49,10 @@
 void entry_writer::run()
 {
     while (!m_isStopping && !writeForeign()) {
-        std::this_thread::sleep_for(lookPeriod);
+        std::this_thread::sleep_for(evaluationPeriod);
     }
     while (!m_isStopping) {
-        std::this_thread::sleep_for(lookPeriod);
+        std::this_thread::sleep_for(evaluationPeriod);
         const auto wanted = m_host.wantedEntries();
         forget(wanted);
         // Where the store does not answer, the rest of the round is left out.
--- a/Tests/StandIns/platform/event_journal.cpp
+++ b/Tests/StandIns/platform/event_journal.cpp
@@ -13,7 +13,7 @@
 constexpr int notFound = 404;
 /// Enough for a soak of several minutes; older lines are left out.
 constexpr std::size_t mostLines = 1000000;
-constexpr duration lookPeriod(10);
+constexpr duration evaluationPeriod(10);
 constexpr duration longestSilence(60000);
 
 } // namespace
@@ -76,7 +76,7 @@
 {
     const auto end = monotonicNow() + longestSilence;
     while (!until() && !hasCallerLeft(exchange) && monotonicNow() < end) {
-        std::this_thread::sleep_for(lookPeriod);
+        std::this_thread::sleep_for(evaluationPeriod);
     }
     exchange.abort();
 }
--- a/Tests/StandIns/platform/replica_requests.cpp
+++ b/Tests/StandIns/platform/replica_requests.cpp
@@ -18,7 +18,7 @@
 constexpr int badRequest = 400;
 constexpr int unavailable = 503;
 constexpr int deadlinePassed = 504;
-constexpr duration lookPeriod(10);
+constexpr duration evaluationPeriod(10);
 /// An event of a stream holds as many tokens.
 constexpr int tokensPerEvent = 5;
 constexpr int usualEvents = 6;
@@ -114,7 +114,7 @@
 /// Takes the request out of the queue; true once it runs. Otherwise it has been answered.
 bool replica_host::waitForSlot(const running_request &request, http_exchange &exchange)
 {
-    for (;; std::this_thread::sleep_for(lookPeriod)) {
+    for (;; std::this_thread::sleep_for(evaluationPeriod)) {
         const bool hasLeft = hasCallerLeft(exchange);
         const bool isLate = monotonicNow() >= request.deadline;
         bool isGone = false;
@@ -196,7 +196,7 @@
 {
     auto left = time;
     while (left.count() > 0) {
-        const auto slice = std::min(left, lookPeriod);
+        const auto slice = std::min(left, evaluationPeriod);
         std::this_thread::sleep_for(slice);
         if (hasCallerLeft(exchange)) {
             return "cancelled";
