--- a/Benchmarks/benchAssembly.cpp
+++ b/Benchmarks/benchAssembly.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// What a planning round costs on a platform whose replicas report themselves, by the number of replicas; and what a daemon pays for each
-// change that it is told of. All replicas serve in groups at first; then every domain loses one.
+// Measures the cost of a planning round on a platform whose replicas report themselves, by the number of replicas, and a daemon's cost of
+// each change of the directory. At first the replicas serve in groups; then every domain loses one.
 #include "Benchmarks/figure.h"
 #include "Libraries/Assembly/assembly_state.h"
 #include "Libraries/Entry/entry_view.h"
@@ -27,20 +27,20 @@
     return engine;
 }
 
-/// Domains of two large groups, a small one where there is room, and a free replica.
+/// Fills each domain with as many large groups as fit, then small ones, and free replicas in the rest.
 replica_directory makeDirectory(const engine_description &engine, int replicas, int perDomain)
 {
     replica_directory directory;
     std::uint64_t formed = 0;
     for (int first = 0; first < replicas; first += perDomain) {
-        int place = 0;
-        while (place < perDomain) {
-            const auto &model = engine.models[place + engine.models[0].size <= perDomain ? 0 : 1];
-            const bool isGroup = place + model.size <= perDomain;
+        int index = 0;
+        while (index < perDomain) {
+            const auto &model = engine.models[index + engine.models[0].size <= perDomain ? 0 : 1];
+            const bool isGroup = index + model.size <= perDomain;
             formed += isGroup ? 1 : 0;
-            for (int rank = 0; rank < (isGroup ? model.size : 1); ++rank, ++place) {
+            for (int rank = 0; rank < (isGroup ? model.size : 1); ++rank, ++index) {
                 served_replica replica;
-                replica.id = instance_id(fmt::format("i-{:010x}", (first + place) * 7919));
+                replica.id = instance_id(fmt::format("i-{:010x}", (first + index) * 7919));
                 replica.service = service_id("service");
                 replica.address = {"10.1.64.7", 8261};
                 replica.dataCentre = data_centre_id("centre");
@@ -99,10 +99,10 @@
     fmt::print("{:>8} {:>8} {:>10.3f} {:>14.3f} {:>10.3f} {:>10.3f}\n", replicas, largeSize, steady, afterLosses, copy, view);
 }
 
-/// The rounds from blank replicas, which all came at once, to the last planned group; no order is answered meanwhile.
+/// Measures the rounds from replicas without any weights, which all appear at once, to the last planned group. No order is answered.
 void measureStart(int replicas, int perDomain, int largeSize)
 {
-    constexpr int mostRounds = 2000;
+    constexpr int maxRounds = 2000;
     constexpr duration roundTime(50);
     auto engine = makeEngine(largeSize);
     engine.loadsPerSecond = replicas / 12.0;
@@ -119,7 +119,7 @@
     int planned = 0;
     int round = 0;
     const auto begin = std::chrono::steady_clock::now();
-    for (int idle = 0; round < mostRounds && idle < 20; ++round) {
+    for (int idle = 0; round < maxRounds && idle < 20; ++round) {
         const assembly_view view{directory, service, engine, none, true, instant(duration(1000000) + round * roundTime)};
         planAssembly(state, view);
         state.decisions.clear();
--- a/Benchmarks/benchRepair.cpp
+++ b/Benchmarks/benchRepair.cpp
@@ -2,7 +2,7 @@
 // How much of each model stays in service while replicas are lost and replaced, in the tests' model of replicas that report themselves.
 // Each scenario runs with several seeds; the figures are means over time.
 #include "Benchmarks/figure.h"
-#include "Tests/Assembly/assemblyWorld.h"
+#include "Tests/Assembly/assemblySimulation.h"
 
 #include <fmt/format.h>
 
@@ -45,7 +45,7 @@
 outcome play(const scenario &scenario, std::uint64_t seed, bool isTold)
 {
     std::mt19937_64 random(seed);
-    assembly_world world(scenario.domains, scenario.perDomain, seed);
+    assembly_simulation world(scenario.domains, scenario.perDomain, seed);
     const auto &models = world.engine().models;
     world.heal(std::chrono::seconds(20));
     world.beginTraffic();
@@ -65,7 +65,7 @@
         world.advance(sampleTime);
         if (now >= nextLoss) {
             nextLoss += scenario.lossPeriod;
-            const auto members = world.membersOfSomeGroup(models[random() % 3 == 0 ? 1 : 0].id, random());
+            const auto members = world.membersOfAnyGroup(models[random() % 3 == 0 ? 1 : 0].id, random());
             if (!members.empty()) {
                 world.lose(members[random() % members.size()]);
                 arrivals.push_back(now + scenario.replacementDelay);
@@ -74,7 +74,7 @@
         if (scenario.released > released && now >= nextRelease) {
             nextRelease += std::chrono::seconds(1);
             ++released;
-            const auto members = world.membersOfSomeGroup(models[random() % 3 == 0 ? 1 : 0].id, random());
+            const auto members = world.membersOfAnyGroup(models[random() % 3 == 0 ? 1 : 0].id, random());
             if (!members.empty()) {
                 const auto &leaving = members[random() % members.size()];
                 world.drain(leaving);
--- a/Libraries/Assembly/assembly_state.cpp
+++ b/Libraries/Assembly/assembly_state.cpp
@@ -37,7 +37,7 @@
         left -= whole * model.size;
         remainders.emplace_back(exact - whole, &model);
     }
-    // What is left over goes to the models that are furthest below their share, as far as it makes whole groups.
+    // The remaining replicas go to the models that are furthest below their share, as far as they suffice for whole groups.
     std::stable_sort(remainders.begin(), remainders.end(), [](const auto &one, const auto &other) { return one.first > other.first; });
     for (const auto &[remainder, model] : remainders) {
         if (left >= model->size && remainder > 0) {
@@ -48,13 +48,13 @@
     return targets;
 }
 
-std::vector<model_standing> standingOf(const assembly_state &state, const engine_description &engine)
+std::vector<model_group_counts> groupCounts(const assembly_state &state, const engine_description &engine)
 {
     const auto targets = groupTargets(engine, demandShares(state.demand, engine), state.usable, state.policy.spareShare);
-    std::vector<model_standing> result;
+    std::vector<model_group_counts> result;
     for (const auto &model : engine.models) {
         const auto held = state.demand.outstanding.find(model.id);
-        model_standing standing{
+        model_group_counts standing{
             model.id, targets.at(model.id), held == state.demand.outstanding.end() ? 0 : static_cast<int>(held->second)};
         for (const auto &[id, group] : state.groups) {
             if (group.model == model.id) {
@@ -78,53 +78,53 @@
     return found == group.members.end() ? nullptr : &*found;
 }
 
-void noteJoin(assembly_state &state, planned_group &group, planned_member &member, order_result result, instant now)
+void recordJoinResult(assembly_state &state, planned_group &group, planned_member &member, order_result result, instant now)
 {
-    if (result == order_result::taken || result == order_result::held) {
+    if (result == order_result::accepted || result == order_result::already_in_effect) {
         member.hasJoined = true;
-    } else if (result == order_result::conflict && ++member.conflicts < state.policy.mostConflicts) {
-        member.nextOrder = now + state.policy.conflictPause;
+    } else if (result == order_result::conflict && ++member.conflicts < state.policy.maxConflicts) {
+        member.nextOrder = now + state.policy.conflictRetryDelay;
     } else if (result != order_result::unknown) {
-        // The place cannot be filled by this replica: the next round forms the group of others.
-        state.avoidedUntil[member.instance] = now + state.policy.refusalPause;
-        group.why = "a member did not take its place: " + member.instance.value();
+        // The replica cannot join: the next round forms the group from others.
+        state.avoidedUntil[member.instance] = now + state.policy.refusalBackoff;
+        group.why = "a member did not join: " + member.instance.value();
     }
 }
 
-/// Keeps count of the orders that a replica has taken; forgets it where the answer leaves it open.
-void noteOrdersTaken(assembly_state &state, const replica_order &order, const order_answer &answer)
+/// Updates the number of orders that a replica has accepted; removes it if the answer does not show whether the order was accepted.
+void updateAcceptedOrders(assembly_state &state, const replica_order &order, const order_answer &answer)
 {
     if (answer.result == order_result::withheld) {
         return;
     }
-    if (order.kind == order_kind::look) {
-        const bool isOfAnotherLife = answer.life != replica_life() && isAnotherLife(answer.life, order.life);
-        if (answer.result == order_result::taken && !isOfAnotherLife) {
-            state.ordersTaken[order.to] = answer.ordersTaken;
+    if (order.kind == order_kind::probe) {
+        const bool isOfAnotherLife = answer.life != replica_life() && isAnotherIncarnation(answer.life, order.life);
+        if (answer.result == order_result::accepted && !isOfAnotherLife) {
+            state.acceptedOrders[order.to] = answer.acceptedOrders;
         }
         return;
     }
-    const auto known = state.ordersTaken.find(order.to);
-    if (known == state.ordersTaken.end()) {
+    const auto known = state.acceptedOrders.find(order.to);
+    if (known == state.acceptedOrders.end()) {
         return;
     }
-    if (answer.result == order_result::taken) {
+    if (answer.result == order_result::accepted) {
         ++known->second;
-    } else if (answer.result != order_result::held) {
-        state.ordersTaken.erase(known);
+    } else if (answer.result != order_result::already_in_effect) {
+        state.acceptedOrders.erase(known);
     }
 }
 
-/// Whether the replica has started again since the order was planned: the answer says nothing of what it is now.
-bool isOutlived(const assembly_state &state, const replica_order &order)
+/// Whether the replica has restarted since the order was planned, so that the answer does not concern its current incarnation.
+bool isFromEarlierIncarnation(const assembly_state &state, const replica_order &order)
 {
-    const auto life = state.lives.find(order.to);
-    return life != state.lives.end() && isAnotherLife(life->second, order.life);
+    const auto life = state.incarnations.find(order.to);
+    return life != state.incarnations.end() && isAnotherIncarnation(life->second, order.life);
 }
 
 bool isDone(order_result result)
 {
-    return result == order_result::taken || result == order_result::held;
+    return result == order_result::accepted || result == order_result::already_in_effect;
 }
 
 } // namespace
@@ -134,19 +134,19 @@
     return isBeforeTraffic || !order.isFreeLoad;
 }
 
-void noteOrderResult(assembly_state &state, const replica_order &order, const order_answer &answer, instant now)
+void recordOrderResult(assembly_state &state, const replica_order &order, const order_answer &answer, instant now)
 {
-    if (isOutlived(state, order)) {
+    if (isFromEarlierIncarnation(state, order)) {
         return;
     }
     const auto result = answer.result;
-    noteOrdersTaken(state, order, answer);
+    updateAcceptedOrders(state, order, answer);
     if (order.kind == order_kind::stage) {
         if (!isDone(result)) {
             state.stagings.erase(order.to);
         }
         if (!isDone(result) && result != order_result::withheld) {
-            state.avoidedUntil[order.to] = now + state.policy.refusalPause;
+            state.avoidedUntil[order.to] = now + state.policy.refusalBackoff;
         }
         return;
     }
@@ -159,28 +159,28 @@
     if (member == nullptr) {
         return;
     }
-    member->isOrderUnderWay = false;
-    member->nextOrder = now + state.policy.orderRetry;
+    member->isOrderPending = false;
+    member->nextOrder = now + state.policy.orderRetryDelay;
     if (result == order_result::withheld) {
         member->nextOrder = now;
         return;
     }
-    if (order.kind == order_kind::look) {
-        // What follows need not wait.
-        member->nextOrder = result == order_result::taken ? now : member->nextOrder;
+    if (order.kind == order_kind::probe) {
+        // The join can follow at once.
+        member->nextOrder = result == order_result::accepted ? now : member->nextOrder;
         if (result == order_result::gone) {
-            noteJoin(state, group, *member, result, now);
+            recordJoinResult(state, group, *member, result, now);
         }
     } else if (order.kind == order_kind::join) {
-        noteJoin(state, group, *member, result, now);
+        recordJoinResult(state, group, *member, result, now);
     } else if (order.kind == order_kind::open) {
-        group.isOpenInDoubt = group.isOpenInDoubt || result == order_result::unknown;
+        group.isOpenUnconfirmed = group.isOpenUnconfirmed || result == order_result::unknown;
     } else if (order.kind == order_kind::leave) {
         group.hasLeft = group.hasLeft || result != order_result::unknown;
     } else if (order.kind == order_kind::close) {
-        // A head that refuses to close is not open. One that has begun to finish has not been told to cut.
+        // A head that refuses to close is not open. An answer to an order to finish does not confirm a later order to cut.
         const bool isLatest = order.method == group.closing;
-        group.hasTakenClose = group.hasTakenClose || (isLatest && result != order_result::unknown && result != order_result::gone);
+        group.hasAcceptedClose = group.hasAcceptedClose || (isLatest && result != order_result::unknown && result != order_result::gone);
         if (result == order_result::gone && !group.headLostSince) {
             group.headLostSince = now;
         }
--- a/Libraries/Assembly/assembly_state.h
+++ b/Libraries/Assembly/assembly_state.h
@@ -12,30 +12,30 @@
 #include <string>
 #include <vector>
 
-/// Assembling groups out of replicas that report their own membership. The replicas' word is the truth; what stands here is only what the
-/// present coordinator is about to do. docs/design/PLATFORM.md numbers the steps.
+/// Forms groups out of replicas that report their own membership. The replicas' reports are authoritative; the state here holds only what
+/// the current coordinator plans to do. docs/design/PLATFORM.md numbers the steps.
 namespace vetchpost {
 
 enum class order_kind {
-    /// Tell how many orders the replica has taken; changes nothing.
-    look,
-    /// Take a place in a group; replaces the place that the replica had.
+    /// Asks how many orders the replica has accepted; changes nothing.
+    probe,
+    /// The replica becomes a member of a group, in place of any earlier membership.
     join,
-    /// Serve; to the head.
+    /// The head starts serving.
     open,
-    /// Stop serving; to the head.
+    /// The head stops serving.
     close,
-    /// Give up the place in the group; to the head.
+    /// The head gives up its membership.
     leave,
-    /// Load a model's weights onto the host beside all else.
+    /// The replica's host loads a model's weights in the background.
     stage
 };
 
 /// What a closing head does with the requests that it holds.
 enum class close_method {
-    /// Finish them.
+    /// Completes them.
     finish,
-    /// Break them off.
+    /// Aborts them.
     cut
 };
 
@@ -47,68 +47,69 @@
     group_id group;
     formation formed;
     model_id model;
-    /// Of a join: all members, the head first.
+    /// For a join: all members, the head first.
     std::vector<instance_id> members;
     close_method method = close_method::finish;
-    /// Of a join: it holds only while the replica has taken exactly so many orders. A copy of it that comes late then finds another number.
+    /// For a join: the number of orders that the replica must have accepted so far. A replica that has accepted another number rejects the
+    /// join, so that a delayed copy of it has no effect.
     std::uint64_t expectedOrders = 0;
-    /// The start of the replica that is meant.
+    /// The incarnation of the replica that the order addresses.
     replica_life life = {};
-    /// It begins a load that is free only before the first request.
+    /// Whether the order begins a load that does not count against the weight store's rate before the first request.
     bool isFreeLoad = false;
 };
 
-/// What came of an order.
+/// The outcome of an order.
 enum class order_result {
-    /// It was taken.
-    taken,
-    /// It held already; nothing began.
-    held,
-    /// The replica's state, or the number of orders it has taken, is another than expected; nothing happened.
+    /// The replica accepted the order.
+    accepted,
+    /// The replica was already in the state that the order asks for; nothing changed.
+    already_in_effect,
+    /// The replica's state or its number of accepted orders differs from the expected one; nothing changed.
     conflict,
-    /// The replica will never take it; nothing happened.
+    /// The replica will never accept the order; nothing changed.
     refused,
-    /// Another process answers at the address, or nobody: the replica has ended.
+    /// The replica has ended: another process answers at its address, or none.
     gone,
-    /// No answer: it may have been taken, or may be later.
+    /// No answer: the replica may have accepted the order, or may still do so.
     unknown,
-    /// It never left: what it was to begin is no longer due.
+    /// The order was not sent, since the load that it would begin is no longer due.
     withheld
 };
 
 struct planned_member
 {
     instance_id instance;
-    /// The start that was given the place; a later one holds nothing of it.
+    /// The incarnation that was ordered to join; a later one is not a member.
     replica_life life;
-    /// Kept so that a head that vanished from the directory can still be asked to close.
+    /// Kept so that a head that vanished from the directory can still be ordered to close.
     endpoint address;
-    /// It has taken this group's join.
+    /// Whether the replica has accepted this group's join.
     bool hasJoined = false;
-    bool isOrderUnderWay = false;
+    bool isOrderPending = false;
     instant nextOrder;
-    /// Joins that met an unexpected state.
+    /// Number of joins that ended with order_result::conflict.
     int conflicts = 0;
 };
 
 enum class assembly_stage {
-    /// Members take their places, the head first.
+    /// Members join, the head first.
     joining,
-    /// All have; the head is told to open.
+    /// All members have joined; the head is ordered to open.
     opening,
     serving,
-    /// The head is told to close.
+    /// The head is ordered to close.
     closing,
-    /// The head is told to give up its place: an order to open it may still come late, and must find nothing to open.
+    /// The head is ordered to leave the group, so that an order to open that arrives late has no effect.
     leaving
 };
 
 struct order_answer
 {
     order_result result = order_result::unknown;
-    /// Of a look: how many orders the replica has taken.
-    std::uint64_t ordersTaken = 0;
-    /// Of a look: the start that answered; "never" where it does not say.
+    /// For a probe: the number of orders that the replica has accepted.
+    std::uint64_t acceptedOrders = 0;
+    /// For a probe: the incarnation that answered; "never" if the answer does not contain it.
     replica_life life = {};
 };
 
@@ -124,105 +125,108 @@
     assembly_stage stage = assembly_stage::joining;
     instant stageSince;
     close_method closing = close_method::finish;
-    /// The head has taken the order to close.
-    bool hasTakenClose = false;
-    /// An order to open without an answer may still be on its way.
-    bool isOpenInDoubt = false;
-    /// The head has given up its place.
+    /// Whether the head has accepted the order to close.
+    bool hasAcceptedClose = false;
+    /// Whether an order to open has not been answered and may still arrive.
+    bool isOpenUnconfirmed = false;
+    /// Whether the head has left the group.
     bool hasLeft = false;
-    /// When its head was first found to be gone.
+    /// When the head was first found to be gone.
     std::optional<instant> headLostSince;
     std::string why;
-    /// It is closed for a group of a larger model.
-    bool givesWay = false;
+    /// Whether the group is closed to make room for a group of a larger model.
+    bool isPreempted = false;
 };
 
 struct assembly_policy
 {
-    /// Part of the usable replicas that is held back as spares. Hosts of the smaller models' groups hold the larger model's weights, so
-    /// that these groups serve and are spares at once.
+    /// Fraction of the usable replicas that is held back as spares. It can be 0, since hosts of the smaller models' groups hold the larger
+    /// model's weights: these groups serve and are spares at once.
     double spareShare = 0;
-    /// At the first start nothing is formed before the number of replicas has stood still for so long: they enter within a second or two.
+    /// At the first start no group is formed until the number of replicas has been constant for this time. Replicas register within a
+    /// second or two of each other.
     duration settleTime{500};
-    /// A closing group counts as there for so long: it is mostly formed again of its survivors.
+    /// A closing group counts as present for this time, since it is mostly formed again from its surviving members.
     duration closingGrace{1500};
     /// An order without an answer is sent again after this time.
-    duration orderRetry{700};
-    /// After a conflict the number of taken orders is looked up; a replica reports it a little late.
-    duration conflictPause{120};
-    /// So many conflicts of one join mean that somebody else orders the replica.
-    int mostConflicts = 8;
-    /// No order comes later than this after it was sent (the platform's orders come up to twelve seconds late).
-    duration latestOrder{13000};
-    /// A replica that refused an order is left alone for so long.
-    duration refusalPause{2000};
-    /// A head that is silent and no longer listed may still hold its group for so long; set from the engines' stall time.
-    duration silentHeadWait{5000};
-    /// A smaller group gives way only where its model then still has so much more of its groups than the larger one.
-    double preemptionGain = 0.1;
-    /// Several give way only where the groups that stay have so much of their places taken at most: beyond it their requests wait.
-    double preemptionLoad = 0.75;
-    /// Below this part of its groups a model lacks much: all that the weight store feeds at a time may then prepare hosts for it.
-    double muchLacking = 0.8;
-    /// A replica that is ready for a group which cannot be formed yet is given to another model after this time.
+    duration orderRetryDelay{700};
+    /// Delay between a conflict and the probe for the number of accepted orders, which a replica reports a little late.
+    duration conflictRetryDelay{120};
+    /// A join with this many conflicts fails: something else must be sending orders to the replica.
+    int maxConflicts = 8;
+    /// The longest time from sending an order to its arrival; the platform delivers orders up to twelve seconds late.
+    duration maxOrderDelay{13000};
+    /// A replica that refused an order gets no further ones for this time.
+    duration refusalBackoff{2000};
+    /// A head that is silent and no longer listed may still hold its group for this time; set from the engines' stall time.
+    duration silentHeadTimeout{5000};
+    /// A smaller group is preempted only if the present fraction of its model's groups afterwards exceeds the larger model's by this much.
+    double preemptionMargin = 0.1;
+    /// Several groups are preempted only if the remaining ones have at most this fraction of their slots in use; above it requests queue.
+    double maxPreemptionLoad = 0.75;
+    /// A model with less than this fraction of its groups is short: all loads that the weight store can feed at a time may prepare hosts
+    /// for it.
+    double shortageThreshold = 0.8;
+    /// A replica that is ready for a group which cannot be formed yet becomes available to other models after this time.
     duration idleGrace{3000};
-    /// A group with a leaving member serves on for so long at most; the member itself stays for ten seconds while there is work.
-    duration leavingStay{6000};
-    /// ... and with a member whose entry went without a word, while that member answers, for so long: one that leaves stays for ten seconds
-    /// while there is work, one that is cut off from the key-value service goes on for as long as it is.
-    duration unlistedMemberStay{8000};
-    /// A leaving head that no longer listens may still finish requests for so long: their longest deadline and two seconds.
-    duration leavingHeadWait{10000};
-    /// A group that does not come together in its loading time and this much more is given up.
+    /// A group with a leaving member serves for at most this time; the member itself stays for ten seconds while its head has work.
+    duration leavingMemberGrace{6000};
+    /// A group with a member that still answers but whose entry vanished unannounced serves for this time. A leaving member stays for ten
+    /// seconds while its head has work; one that is cut off from the key-value service runs for as long as the cut lasts.
+    duration unlistedMemberGrace{8000};
+    /// A leaving head that no longer listens may still finish requests for this time: their longest deadline and two seconds.
+    duration leavingHeadTimeout{10000};
+    /// A group is given up if its members take longer than their loading time and this much more to join.
     duration joinSlack{20000};
-    /// Of the weight store's rate the part that is used, so that a predecessor's last loads find room in the same window.
+    /// Fraction of the weight store's rate that is used, so that a predecessor's last loads fit into the same window.
     double loadRateShare = 0.5;
-    /// Before the first request so many hosts may be prepared within that time: each changes its replica's entry, and all daemons must take
-    /// in what changes sooner than a leaving replica has to be known.
-    std::size_t preparationsPerNotice = 48;
-    /// A lost member may use up what so many hosts were prepared with: so many loads then prepare others.
+    /// Before the first request, the number of preparatory loads that may begin within trafficReportDelay. Each changes its replica's
+    /// entry, and all daemons must process these changes before a leaving replica has to be known.
+    std::size_t preparationsPerReportDelay = 48;
+    /// Number of preparatory loads that each lost member allows, since its replacement may use up prepared hosts.
     std::size_t preparationsPerLoss = 4;
-    /// ... and so many without any loss: the first one may come.
-    std::size_t leastPreparations = 2;
-    /// A loss says for so long that there will be others.
-    duration lossMemory{60000};
+    /// Number of preparatory loads that are allowed without any loss, for the first one that may come.
+    std::size_t minPreparations = 2;
+    /// For this time a loss counts as a sign that more will follow.
+    duration lossRetention{60000};
     /// Window over which loads are counted.
     duration loadWindow{5000};
-    /// The coordinator hears of the first request within this time, wherever it comes.
-    duration trafficNotice{300};
+    /// The coordinator learns of the first request within this time, whichever daemon receives it.
+    duration trafficReportDelay{300};
 };
 
 struct assembly_state
 {
     assembly_policy policy;
-    /// Set at takeover: number of the coordinator's term, which rises with each.
+    /// Number of the coordinator's term, set at takeover; each term has a higher number than the one before.
     std::uint64_t term = 0;
     std::uint64_t lastNumber = 0;
     bool hasAdopted = false;
     /// When this term's first round was planned.
     instant since;
-    /// The start of each listed replica that the rest of this is about.
-    std::map<instance_id, replica_life> lives;
-    /// How many orders each replica has taken, where it is known.
-    std::map<instance_id, std::uint64_t> ordersTaken;
+    /// The incarnation of each listed replica that the other per-replica fields describe.
+    std::map<instance_id, replica_life> incarnations;
+    /// The number of orders that each replica has accepted, where it is known.
+    std::map<instance_id, std::uint64_t> acceptedOrders;
     std::map<group_id, planned_group> groups;
-    /// Formations of earlier terms that were met in this one: each is taken over once.
-    std::set<std::pair<group_id, formation>> metFormations;
+    /// Formations of earlier terms that this term has found: each is adopted once.
+    std::set<std::pair<group_id, formation>> knownFormations;
     std::map<instance_id, instant> avoidedUntil;
-    /// Since when each leaving replica is known to leave.
+    /// Since when each leaving replica is known to be leaving.
     std::map<instance_id, instant> drainingSince;
     /// Heads that were confirmed dead while the directory still lists them as open.
     std::set<instance_id> deadHeads;
-    /// Replicas that fell silent without leaving: they have crashed, or are cut off. One that is found silent after it began to leave may
-    /// still finish requests. The directory does not tell the two apart: it may lag.
+    /// Replicas that fell silent without leaving: they have crashed or are cut off. A replica that fell silent after it began to leave may
+    /// still finish requests. The directory alone cannot tell the two apart, since it may lag.
     std::set<instance_id> silentWhileListed;
-    /// Since when each free replica is free.
+    /// Since when each free replica has been free.
     std::map<instance_id, instant> idleSince;
-    /// Loads from the weight store that were ordered within the window.
+    /// When loads from the weight store were ordered, within policy.loadWindow.
     std::deque<instant> loads;
-    /// When members of groups were lost, and when loads began that only prepare for that; of the last while.
+    /// When members of groups were lost, within policy.lossRetention.
     std::deque<instant> losses;
-    std::deque<instant> preparations;
+    /// When loads began that only prepare for a loss, within policy.lossRetention.
+    std::deque<instant> preparatoryLoads;
     struct staging
     {
         model_id model;
@@ -230,10 +234,11 @@
     };
     std::map<instance_id, staging> stagings;
     smoothed_demand demand;
-    /// The number of usable replicas, and since when it is so.
+    /// The number of usable replicas.
     int usable = 0;
+    /// Since when `usable` has had its value.
     instant usableSince;
-    /// What was decided since the last look, for the log.
+    /// Descriptions of decisions, for the log; the caller clears them.
     std::vector<std::string> decisions;
 };
 
@@ -242,42 +247,45 @@
     const replica_directory &directory;
     const service_id &service;
     const engine_description &engine;
-    /// Replicas that are believed dead although they are still listed.
+    /// Replicas that are suspected dead although they are still listed.
     const std::set<instance_id> &suspects;
-    /// Loads are quick and are not counted until the first request.
+    /// No request has come yet; until then loads are quick and do not count against the weight store's rate.
     bool isBeforeTraffic = false;
     instant now;
-    /// Of the suspects the ones whose entry in the key-value service still said, after they were found silent, that they do not leave.
+    /// Suspects whose entry in the key-value service was read after they were found silent and did not mark them as leaving.
     std::set<instance_id> notLeaving = {};
-    /// Since when this daemon has followed the entries: a head that went since then is still in the directory, or had the time to end.
+    /// Since when this daemon has followed the entries. A head whose entry vanished since then is still in the directory, or has had the
+    /// time to end.
     instant followedSince = {};
 };
 
-/// One round: what to order next. Orders that it returns count as under way until noteOrderResult().
+/// Plans one round and returns the orders to send next. An order counts as pending until its result is passed to recordOrderResult().
 std::vector<replica_order> planAssembly(assembly_state &state, const assembly_view &view);
 
-/// Whether a planned order may still leave. Orders wait for their turn: a load that was free when it was planned may not be any more.
+/// Whether a planned order may still be sent. Orders are queued for sending, and a load that was free when it was planned may no longer be.
 bool isStillDue(const replica_order &order, bool isBeforeTraffic);
 
-void noteOrderResult(assembly_state &state, const replica_order &order, const order_answer &answer, instant now);
+/// Updates the state with the result of an order. Results for earlier incarnations of a replica are ignored.
+void recordOrderResult(assembly_state &state, const replica_order &order, const order_answer &answer, instant now);
 
-/// What stands of one model's groups, for the log.
-struct model_standing
+/// The wanted and present groups of one model, for the log.
+struct model_group_counts
 {
     model_id model;
     int wanted = 0;
-    /// Held by all daemons, smoothed.
+    /// Requests that all daemons hold, smoothed.
     int requests = 0;
     int serving = 0;
-    /// Being formed or opened.
+    /// Groups that are being formed or opened.
     int forming = 0;
-    /// Being closed.
+    /// Groups that are being closed.
     int ending = 0;
 };
 
-std::vector<model_standing> standingOf(const assembly_state &state, const engine_description &engine);
+/// The group counts of each model of the engine.
+std::vector<model_group_counts> groupCounts(const assembly_state &state, const engine_description &engine);
 
-/// How many groups of each model a number of usable replicas should make, by the models' shares, with spares held back.
+/// How many groups of each model a number of usable replicas should form, according to the models' shares and with spares held back.
 std::map<model_id, int>
 groupTargets(const engine_description &engine, const std::map<model_id, double> &shares, int replicas, double spareShare);
 
--- a/Libraries/Assembly/coordination_term.h
+++ b/Libraries/Assembly/coordination_term.h
@@ -9,32 +9,32 @@
 
 namespace vetchpost {
 
-/// One daemon's hold on the coordination: a key that lives as long as a lease. The revision at which the key was created numbers the term.
+/// A term of one daemon as coordinator: it holds a key that is bound to a lease. The key's creation revision numbers the term.
 struct coordination_term
 {
     std::uint64_t number = 0;
     lease_number lease;
-    /// Counted from before the call that granted or renewed the lease.
+    /// When the lease ends, counted from before the call that granted or renewed it.
     instant leaseUntil;
 };
 
-/// How far two clocks may drift apart over a lease, and how late a thread may wake.
+/// Allowance for the drift of two clocks over a lease and for the delay with which a thread wakes.
 constexpr duration leaseMargin(200);
 
-/// Whether the term is still held for so long.
+/// Whether the term is held for at least \a time from \a now.
 inline bool isHeldFor(const std::optional<coordination_term> &term, duration time, instant now)
 {
     return term && now + time + leaseMargin < term->leaseUntil;
 }
 
-/// Whether the lease should be renewed: a third of it is over.
+/// Whether the lease should be renewed: a third of its time has passed.
 inline bool isRenewalDue(const coordination_term &term, duration leaseTime, instant now)
 {
     constexpr int renewalsPerLease = 3;
     return now >= term.leaseUntil - leaseTime + leaseTime / renewalsPerLease;
 }
 
-/// Whether the lease was not renewed for half of its time: the key-value service does not answer, or too late.
+/// Whether the lease has not been renewed for half of its time, since the key-value service does not answer or answers too late.
 inline bool isRenewalLate(const coordination_term &term, duration leaseTime, instant now)
 {
     return now >= term.leaseUntil - leaseTime / 2;
--- a/Libraries/Assembly/demand_shares.cpp
+++ b/Libraries/Assembly/demand_shares.cpp
@@ -8,20 +8,20 @@
 
 namespace {
 
-/// A burst that lasts for less than a load of weights is not worth a change of groups: what a switch burns has to be loaded again.
+/// Groups do not change for a burst that is shorter than a load of weights, since the weights that a switch evicts have to be loaded again.
 constexpr double smoothingSeconds = 8;
-/// With fewer requests than this the measure says little, and nothing is short.
-constexpr double leastRequests = 20;
-constexpr double leastOfConfigured = 0.75;
-constexpr double mostOfConfigured = 1.25;
+/// With fewer requests than this the measurement is unreliable and no model is short.
+constexpr double minRequests = 20;
+constexpr double minOfConfigured = 0.75;
+constexpr double maxOfConfigured = 1.25;
 
 } // namespace
 
-void noteDemand(smoothed_demand &demand, const std::map<model_id, int> &outstanding, instant now)
+void updateDemand(smoothed_demand &demand, const std::map<model_id, int> &outstanding, instant now)
 {
-    const auto passed = demand.at ? std::chrono::duration<double>(now - *demand.at).count() : 0;
-    const auto weight = demand.at ? 1 - std::exp(-passed / smoothingSeconds) : 1;
-    demand.at = now;
+    const auto passed = demand.updatedAt ? std::chrono::duration<double>(now - *demand.updatedAt).count() : 0;
+    const auto weight = demand.updatedAt ? 1 - std::exp(-passed / smoothingSeconds) : 1;
+    demand.updatedAt = now;
     for (const auto &[model, count] : outstanding) {
         auto &known = demand.outstanding[model];
         known += weight * (count - known);
@@ -45,10 +45,11 @@
     std::map<model_id, double> shares;
     double sum = 0;
     for (const auto &model : engine.models) {
-        const bool isMeasured = requests >= leastRequests && measured > 0;
-        // A model that is short holds more requests than its work accounts for, so that the measure is followed half the way.
+        const bool isMeasured = requests >= minRequests && measured > 0;
+        // A model that is short holds more requests than its work accounts for, so the result is the geometric mean of the configured and
+        // the measured share.
         const auto share = isMeasured ? std::sqrt(model.share * configured * needed.at(model.id) / measured) : model.share;
-        shares[model.id] = std::clamp(share, leastOfConfigured * model.share, mostOfConfigured * model.share);
+        shares[model.id] = std::clamp(share, minOfConfigured * model.share, maxOfConfigured * model.share);
         sum += shares[model.id];
     }
     for (auto &[model, share] : shares) {
--- a/Libraries/Assembly/domain_summary.h
+++ b/Libraries/Assembly/domain_summary.h
@@ -5,9 +5,10 @@
 
 namespace vetchpost {
 
-/// For the log: what the replicas of each fabric domain do. A number is a serving group of that size. Any other replica is shown by the
-/// models (letters by their order in the configuration, "." for none) that it ran last and that its host holds, with marks before it (~
-/// leaving, u unlisted, ? silent) and after it (! loads weights, x left alone for a while, * in a group that is formed or closed).
+/// Describes the replicas of each fabric domain in one line, for the log. A number stands for a serving group of that size. Any other
+/// replica is shown by two models, the one that it ran last and the one that its host holds (letters by their order in the configuration,
+/// "." for none), with marks before them (~ leaving, u unlisted, ? silent) and after them (! loads weights, x in backoff, * in a group that
+/// is being formed or closed).
 std::string summariseDomains(const assembly_state &state, const assembly_view &view);
 
 } // namespace vetchpost
--- a/Libraries/Assembly/group_forming.cpp
+++ b/Libraries/Assembly/group_forming.cpp
@@ -7,7 +7,7 @@
 
 namespace vetchpost {
 
-void assembly_round::collectFree()
+void assembly_round::collectFreeReplicas()
 {
     std::set<instance_id> used;
     for (const auto &[id, group] : m_state.groups) {
@@ -15,10 +15,10 @@
             used.insert(member.instance);
         }
     }
-    for (const auto &seen : m_seen) {
-        // Whatever the plan says: a replica whose head holds requests is not to be ordered elsewhere.
-        if (seen.head() != nullptr && isHoldingRequests(*seen.head())) {
-            for (const auto *member : seen.members) {
+    for (const auto &reported : m_reportedGroups) {
+        // A replica whose head holds requests must not join another group, whether or not its group is planned.
+        if (reported.head() != nullptr && isHoldingRequests(*reported.head())) {
+            for (const auto *member : reported.members) {
                 used.insert(member == nullptr ? instance_id() : member->id);
             }
         }
@@ -39,14 +39,14 @@
         }
     }
     std::erase_if(m_state.idleSince, [&](const auto &entry) { return find(entry.first) == nullptr; });
-    // What a domain has over whole groups of the smallest size can only be spares.
-    const auto smallest = smallestGroup();
+    // Replicas of a domain beyond a multiple of the smallest group size can only be spares.
+    const auto smallest = smallestGroupSize();
     for (const auto &[domain, count] : usable) {
         m_usable += count - count % smallest;
     }
 }
 
-int assembly_round::smallestGroup() const
+int assembly_round::smallestGroupSize() const
 {
     int smallest = 0;
     for (const auto &model : m_view.engine.models) {
@@ -69,23 +69,24 @@
 {
     for (;;) {
         const auto *model = neediestModel();
-        if (model == nullptr || !formOne(*model)) {
+        if (model == nullptr || !formBestGroup(*model)) {
             return;
         }
     }
 }
 
-/// Whether a group that has room waits for its turn to load, before the first request. What its replicas hold must not be chosen before.
-bool assembly_round::isFormingHeldUp() const
+/// Whether, before the first request, a wanted group has enough free replicas in a domain but its loads are held back by the rate limit.
+/// Until it is formed, its replicas must not stage other weights.
+bool assembly_round::isFormingThrottled() const
 {
     return m_view.isBeforeTraffic && std::any_of(m_free.begin(), m_free.end(), [&](const auto &entry) {
                return std::any_of(m_view.engine.models.begin(), m_view.engine.models.end(), [&](const group_model &model) {
-                   return presentPart(model) < 1 && entry.second.size() >= static_cast<std::size_t>(model.size);
+                   return presentFraction(model) < 1 && entry.second.size() >= static_cast<std::size_t>(model.size);
                });
            });
 }
 
-/// The models, those of the largest groups first: they are the hardest to find room for.
+/// The models by decreasing group size, since large groups are the hardest to find room for.
 std::vector<const group_model *> assembly_round::modelsBySize() const
 {
     std::vector<const group_model *> models;
@@ -97,14 +98,14 @@
     return models;
 }
 
-/// The part of a model's wanted groups that is there, counting \a more besides.
-double assembly_round::presentPart(const group_model &model, int more) const
+/// The fraction of a model's wanted groups that is present, with \a more added to the present ones.
+double assembly_round::presentFraction(const group_model &model, int more) const
 {
     const auto target = m_targets.at(model.id);
     return target == 0 ? 1.0 : static_cast<double>(presentGroups(model.id) + more) / target;
 }
 
-/// Whether there are replicas for all groups that are missing.
+/// Whether there are enough free replicas for all missing groups.
 bool assembly_round::isEnoughFree() const
 {
     std::size_t free = 0;
@@ -119,15 +120,15 @@
     return missing <= free;
 }
 
-/// The model to form next: the largest groups first where there is room for all, since they need the most in one domain; else the model
-/// that has the smallest part of its groups.
+/// The model to form a group of next, or nullptr. If there are free replicas for all missing groups it is the model with the largest
+/// groups, which need the most replicas in one domain; otherwise the model with the smallest fraction of its groups.
 const group_model *assembly_round::neediestModel() const
 {
     const group_model *neediest = nullptr;
     const bool isEnough = isEnoughFree();
     double smallest = 1;
     for (const auto *model : modelsBySize()) {
-        const auto part = presentPart(*model);
+        const auto part = presentFraction(*model);
         if (part < smallest && bestDomain(*model) != nullptr) {
             if (isEnough) {
                 return model;
@@ -141,11 +142,11 @@
 
 int assembly_round::presentGroups(const model_id &model) const
 {
-    return countOf(model).present;
+    return groupCountOf(model).present;
 }
 
-/// Counted once for many questions; each change of a group's stage lets it be counted anew.
-const assembly_round::group_count &assembly_round::countOf(const model_id &model) const
+/// Cached; each change of a group's stage clears the cache.
+const assembly_round::group_count &assembly_round::groupCountOf(const model_id &model) const
 {
     if (!m_counts) {
         m_counts.emplace();
@@ -160,9 +161,9 @@
     return (*m_counts)[model];
 }
 
-/// Replicas that no wanted group can use serve as a group of a smaller model, more than wanted, rather than idle; where the larger
-/// model can use them later, they give way to it.
-void assembly_round::formExtra()
+/// Forms more groups than wanted out of replicas that no wanted group can use, so that they do not idle. Such a group is preempted when a
+/// larger model can use its replicas.
+void assembly_round::formExtraGroups()
 {
     for (auto &[domain, free] : m_free) {
         if (isBusy(domain)) {
@@ -170,17 +171,17 @@
         }
         for (const auto *model : modelsBySize()) {
             const auto size = static_cast<std::size_t>(model->size);
-            const bool isNeedyElsewhere = presentPart(*model) < 1;
+            const bool isNeedyElsewhere = presentFraction(*model) < 1;
             const auto replicas = availableFor(*model, domain);
-            if (replicas.size() >= size && !isNeedyElsewhere && quickCount(replicas, model->id) >= model->size) {
-                formIn(*model, domain);
+            if (replicas.size() >= size && !isNeedyElsewhere && countReady(replicas, model->id) >= model->size) {
+                formGroupIn(*model, domain);
                 break;
             }
         }
     }
 }
 
-/// Whether a group of the domain is being formed or closed, after which its replicas may be used better.
+/// Whether a group of the domain is being formed or closed. Afterwards its replicas may have a better use.
 bool assembly_round::isBusy(const fabric_domain_id &domain) const
 {
     return std::any_of(m_state.groups.begin(), m_state.groups.end(), [&](const auto &entry) {
@@ -192,39 +193,40 @@
     });
 }
 
-int assembly_round::quickCount(const std::vector<const served_replica *> &replicas, const model_id &model)
+int assembly_round::countReady(const std::vector<const served_replica *> &replicas, const model_id &model)
 {
     return static_cast<int>(std::count_if(replicas.begin(), replicas.end(), [&](const served_replica *replica) {
         return readinessOf(*replica, model) != readiness::must_load;
     }));
 }
 
-/// The part of a model's wanted groups that is there, without those that are about to end.
-double assembly_round::partWithoutEnding(const group_model &model) const
+/// The fraction of a model's wanted groups that is present and not being closed.
+double assembly_round::stayingFraction(const group_model &model) const
 {
     const auto target = m_targets.at(model.id);
-    return target == 0 ? 1.0 : static_cast<double>(countOf(model.id).staying) / target;
+    return target == 0 ? 1.0 : static_cast<double>(groupCountOf(model.id).staying) / target;
 }
 
-/// The free replicas of a domain that a model may use: not those that are ready for a model which lacks more of its groups, as long as a
-/// member that completes them may come.
+/// The free replicas of a domain that a model may use. For policy.idleGrace, replicas that ran another model are reserved for it if that
+/// model lacks more of its groups, since a member that completes a group may still come.
 std::vector<const served_replica *> assembly_round::availableFor(const group_model &model, const fabric_domain_id &domain) const
 {
     auto replicas = m_free.at(domain);
     if (m_view.isBeforeTraffic) {
         return replicas;
     }
-    const auto part = presentPart(model);
+    const auto part = presentFraction(model);
     std::erase_if(replicas, [&](const served_replica *replica) {
         const bool isIdleLong = m_view.now - m_state.idleSince.at(replica->id) > m_state.policy.idleGrace;
         return !isIdleLong && std::any_of(m_view.engine.models.begin(), m_view.engine.models.end(), [&](const group_model &other) {
-            return other.id != model.id && partWithoutEnding(other) + m_state.policy.preemptionGain < part && replica->model == other.id;
+            return other.id != model.id && stayingFraction(other) + m_state.policy.preemptionMargin < part && replica->model == other.id;
         });
     });
     return replicas;
 }
 
-/// Where a group would serve soonest; of equals, where most replicas are left over.
+/// The domain in which a group of the model needs the fewest loads, and among equals the one with the most available replicas; nullptr if
+/// no domain can form one now.
 const fabric_domain_id *assembly_round::bestDomain(const group_model &model) const
 {
     const fabric_domain_id *best = nullptr;
@@ -235,11 +237,11 @@
         if (replicas.size() < size) {
             continue;
         }
-        const auto chosen = soonest(replicas, model);
+        const auto chosen = soonestReady(replicas, model);
         const auto loads = static_cast<std::size_t>(std::count_if(chosen.begin(), chosen.end(), [&](const served_replica *replica) {
             return readinessOf(*replica, model.id) == readiness::must_load;
         }));
-        // Later a replica loads beside all else and joins once it has the weights, so that the others need not wait for it.
+        // After the first request a replica stages the weights first and joins once it has them, so that the other members do not wait.
         if (loads > 0 && !(m_view.isBeforeTraffic && mayLoad(loads))) {
             continue;
         }
@@ -252,30 +254,31 @@
     return best;
 }
 
-std::vector<const served_replica *> assembly_round::soonest(std::vector<const served_replica *> replicas, const group_model &model) const
+std::vector<const served_replica *> assembly_round::soonestReady(std::vector<const served_replica *> replicas,
+                                                                 const group_model &model) const
 {
     std::stable_sort(replicas.begin(), replicas.end(), [&](const served_replica *left, const served_replica *right) {
         return readinessOf(*left, model.id) < readinessOf(*right, model.id);
     });
     replicas.resize(static_cast<std::size_t>(model.size));
-    // A replica that was a head stays one: an old order to open it then meets the new formation.
+    // A former head becomes a head again: a late order to open its earlier group then finds it in the new formation.
     std::stable_sort(replicas.begin(), replicas.end(), [](const served_replica *left, const served_replica *right) {
         return wasHead(*left) > wasHead(*right);
     });
     return replicas;
 }
 
-bool assembly_round::formOne(const group_model &model)
+bool assembly_round::formBestGroup(const group_model &model)
 {
     const auto *domain = bestDomain(model);
     if (domain == nullptr) {
         return false;
     }
-    formIn(model, *domain);
+    formGroupIn(model, *domain);
     return true;
 }
 
-void assembly_round::formIn(const group_model &model, const fabric_domain_id &domain)
+void assembly_round::formGroupIn(const group_model &model, const fabric_domain_id &domain)
 {
     auto &free = m_free.at(domain);
     planned_group group;
@@ -283,7 +286,7 @@
     group.id = group_id(fmt::format("g{}", group.formed.value()));
     group.model = model.id;
     group.stageSince = m_view.now;
-    for (const auto *replica : soonest(availableFor(model, domain), model)) {
+    for (const auto *replica : soonestReady(availableFor(model, domain), model)) {
         planned_member member;
         member.instance = replica->id;
         member.life = replica->life;
@@ -296,7 +299,7 @@
     }
     auto &planned = m_state.groups[group.id] = std::move(group);
     m_counts.reset();
-    decide(planned, fmt::format("forming in domain={}", domain.value()));
+    logDecision(planned, fmt::format("forming in domain={}", domain.value()));
     join(planned);
 }
 
--- a/Libraries/Assembly/plan_assembly.cpp
+++ b/Libraries/Assembly/plan_assembly.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// A place that a predecessor gave.
-planned_member adopted(const served_replica &replica)
+/// A member that joined on an earlier coordinator's order.
+planned_member adoptedMember(const served_replica &replica)
 {
     planned_member member;
     member.instance = replica.id;
@@ -20,7 +20,7 @@
     return member;
 }
 
-void forgetBefore(std::deque<instant> &moments, instant oldest)
+void eraseUpTo(std::deque<instant> &moments, instant oldest)
 {
     while (!moments.empty() && moments.front() <= oldest) {
         moments.pop_front();
@@ -32,26 +32,26 @@
 assembly_round::assembly_round(assembly_state &state, const assembly_view &view)
     : m_state(state)
     , m_view(view)
-    , m_seen(groupsOf(view.directory, view.service))
+    , m_reportedGroups(groupsOf(view.directory, view.service))
 {
     std::erase_if(m_state.avoidedUntil, [&](const auto &entry) { return entry.second <= m_view.now; });
-    forgetBefore(m_state.loads, m_view.now - m_state.policy.loadWindow);
-    forgetBefore(m_state.losses, m_view.now - m_state.policy.lossMemory);
-    forgetBefore(m_state.preparations, m_view.now - m_state.policy.lossMemory);
-    const auto firstRecent = std::upper_bound(m_state.loads.begin(), m_state.loads.end(), m_view.now - m_state.policy.trafficNotice);
+    eraseUpTo(m_state.loads, m_view.now - m_state.policy.loadWindow);
+    eraseUpTo(m_state.losses, m_view.now - m_state.policy.lossRetention);
+    eraseUpTo(m_state.preparatoryLoads, m_view.now - m_state.policy.lossRetention);
+    const auto firstRecent = std::upper_bound(m_state.loads.begin(), m_state.loads.end(), m_view.now - m_state.policy.trafficReportDelay);
     m_olderLoads = static_cast<std::size_t>(firstRecent - m_state.loads.begin());
-    noteLives();
-    noteDraining();
-    noteSilence();
-    // One that is heard again, or is no longer suspected, may still hold requests: the dead do not come back under their names.
+    updateIncarnations();
+    updateDraining();
+    updateSilence();
+    // A head that answers again, or is no longer suspected, was not dead and may still hold requests.
     std::erase_if(m_state.deadHeads, [&](const instance_id &id) { return find(id) == nullptr || !m_view.suspects.contains(id); });
     std::erase_if(m_state.stagings, [&](const auto &entry) { return isStagingOver(entry.first, entry.second); });
 }
 
 std::vector<replica_order> assembly_round::run()
 {
-    adopt();
-    closeStrays();
+    adoptGroups();
+    closeUnplannedHeads();
     std::vector<group_id> ids;
     for (const auto &[id, group] : m_state.groups) {
         ids.push_back(id);
@@ -59,38 +59,39 @@
     for (const auto &id : ids) {
         advance(m_state.groups.at(id));
     }
-    collectFree();
+    collectFreeReplicas();
     if (!isSettled()) {
         return std::move(m_orders);
     }
-    preemptForLarger();
+    preemptForLargerModels();
     formGroups();
-    if (isFormingHeldUp()) {
+    if (isFormingThrottled()) {
         return std::move(m_orders);
     }
-    formExtra();
-    stageForLarger();
+    formExtraGroups();
+    stageForLargerModels();
     stageSpares();
     stageServing();
     return std::move(m_orders);
 }
 
-void assembly_round::noteLives()
+void assembly_round::updateIncarnations()
 {
-    std::erase_if(m_state.lives, [&](const auto &entry) { return find(entry.first) == nullptr; });
+    std::erase_if(m_state.incarnations, [&](const auto &entry) { return find(entry.first) == nullptr; });
     for (const auto &[id, replica] : m_view.directory.replicas) {
-        const auto [known, isNew] = m_state.lives.try_emplace(id, replica.life);
-        if (!isNew && isAnotherLife(known->second, replica.life)) {
+        const auto [known, isNew] = m_state.incarnations.try_emplace(id, replica.life);
+        if (!isNew && isAnotherIncarnation(known->second, replica.life)) {
             known->second = replica.life;
-            forget(id);
+            resetInstance(id);
         }
     }
 }
 
-/// A replica that started again has taken no orders, loads nothing, leaves no more and has refused nothing. Its groups find out themselves.
-void assembly_round::forget(const instance_id &instance)
+/// Clears what was recorded of a replica's earlier incarnation: the new one has accepted or refused no orders, loads nothing and is not
+/// leaving. Groups detect by themselves that a member has restarted.
+void assembly_round::resetInstance(const instance_id &instance)
 {
-    m_state.ordersTaken.erase(instance);
+    m_state.acceptedOrders.erase(instance);
     m_state.stagings.erase(instance);
     m_state.avoidedUntil.erase(instance);
     m_state.drainingSince.erase(instance);
@@ -100,7 +101,7 @@
     m_state.decisions.push_back(fmt::format("started again: instance={}", instance.value()));
 }
 
-void assembly_round::noteDraining()
+void assembly_round::updateDraining()
 {
     for (const auto &[id, replica] : m_view.directory.replicas) {
         if (replica.isDraining) {
@@ -111,12 +112,12 @@
     std::erase_if(m_state.drainingSince, [&](const auto &entry) { return find(entry.first) == nullptr; });
 }
 
-void assembly_round::noteSilence()
+void assembly_round::updateSilence()
 {
-    // One that says afterwards that it leaves has not crashed.
+    // A replica that has been marked as leaving since then has not crashed.
     std::erase_if(m_state.silentWhileListed, [&](const instance_id &id) {
         const auto *replica = find(id);
-        return replica == nullptr || !m_view.suspects.contains(id) || saysItLeaves(*replica);
+        return replica == nullptr || !m_view.suspects.contains(id) || reportsDraining(*replica);
     });
     for (const auto &id : m_view.notLeaving) {
         if (find(id) != nullptr && m_view.suspects.contains(id)) {
@@ -125,96 +126,97 @@
     }
 }
 
-// What a predecessor left.
+// Groups that an earlier coordinator formed.
 
-/// Takes over what earlier terms formed, also where the head or members are not listed: only replicas that name no group are free at once.
-void assembly_round::adopt()
+/// Adopts the groups of earlier terms, even if their head or members are not listed. Only replicas that report no group are free at once.
+void assembly_round::adoptGroups()
 {
     if (!m_state.hasAdopted) {
         m_state.since = m_view.now;
         m_state.hasAdopted = true;
     }
-    for (const auto &seen : m_seen) {
-        // Entries that lapsed with the service come back one by one for two seconds, the members' before their head's too: a group counts
-        // from the moment in which any of it is there. If only the first round took groups over, members would join other groups beside
-        // open heads.
-        const bool isFromBefore = seen.formed.value() < m_state.term * formationsPerTerm;
-        const bool isNew = isFromBefore && m_state.metFormations.emplace(seen.id, seen.formed).second;
-        const auto planned = m_state.groups.find(seen.id);
-        const bool isHeadBack = planned != m_state.groups.end() && planned->second.formed == seen.formed && seen.head() != nullptr
+    for (const auto &reported : m_reportedGroups) {
+        // After an outage of the key-value service, lapsed entries return one by one within two seconds, and members may return before
+        // their head. A group is adopted as soon as any of its entries is present. If only the first round adopted groups, members would be
+        // ordered into other groups while their head is open.
+        const bool isFromBefore = reported.formed.value() < m_state.term * formationsPerTerm;
+        const bool isNew = isFromBefore && m_state.knownFormations.emplace(reported.id, reported.formed).second;
+        const auto planned = m_state.groups.find(reported.id);
+        const bool isHeadBack = planned != m_state.groups.end() && planned->second.formed == reported.formed && reported.head() != nullptr
             && planned->second.members.front().instance.isEmpty();
         if (isNew || isHeadBack) {
-            adoptGroup(seen);
-        } else if (planned != m_state.groups.end() && planned->second.formed == seen.formed) {
-            addMissing(planned->second, seen);
+            adoptGroup(reported);
+        } else if (planned != m_state.groups.end() && planned->second.formed == reported.formed) {
+            addReturnedMembers(planned->second, reported);
         }
     }
 }
 
-/// Members whose entries come back after their group was taken over.
-void assembly_round::addMissing(planned_group &group, const seen_group &seen)
+/// Adds members whose entries return after their group was adopted.
+void assembly_round::addReturnedMembers(planned_group &group, const reported_group &reported)
 {
-    group.members.resize(std::max(group.members.size(), seen.members.size()));
-    for (std::size_t rank = 0; rank < seen.members.size(); ++rank) {
-        const auto *member = seen.members[rank];
+    group.members.resize(std::max(group.members.size(), reported.members.size()));
+    for (std::size_t rank = 0; rank < reported.members.size(); ++rank) {
+        const auto *member = reported.members[rank];
         if (member != nullptr && group.members[rank].instance.isEmpty()) {
-            group.members[rank] = adopted(*member);
+            group.members[rank] = adoptedMember(*member);
         }
     }
 }
 
-void assembly_round::adoptGroup(const seen_group &seen)
+void assembly_round::adoptGroup(const reported_group &reported)
 {
-    const auto *model = findModel(seen.model);
+    const auto *model = findModel(reported.model);
     if (model == nullptr) {
         return;
     }
-    const auto *head = seen.head();
-    const bool isWhole = static_cast<int>(seen.members.size()) == model->size
-        && std::find(seen.members.begin(), seen.members.end(), nullptr) == seen.members.end();
-    const bool isAnyoneJoining = std::any_of(seen.members.begin(), seen.members.end(), [](const served_replica *member) {
+    const auto *head = reported.head();
+    const bool isWhole = static_cast<int>(reported.members.size()) == model->size
+        && std::find(reported.members.begin(), reported.members.end(), nullptr) == reported.members.end();
+    const bool isAnyMemberJoining = std::any_of(reported.members.begin(), reported.members.end(), [](const served_replica *member) {
         return member != nullptr && member->membership->state == member_state::joining;
     });
     planned_group group;
-    group.id = seen.id;
-    group.formed = seen.formed;
-    group.model = seen.model;
+    group.id = reported.id;
+    group.formed = reported.formed;
+    group.model = reported.model;
     group.stageSince = m_view.now;
-    // The predecessor's last order to open may have had no answer.
-    group.isOpenInDoubt = true;
-    for (const auto *member : seen.members) {
-        group.members.push_back(member == nullptr ? planned_member() : adopted(*member));
+    // An order to open that the predecessor sent may still be unanswered.
+    group.isOpenUnconfirmed = true;
+    for (const auto *member : reported.members) {
+        group.members.push_back(member == nullptr ? planned_member() : adoptedMember(*member));
     }
     if (head == nullptr) {
-        // It may serve without an entry: cut off from the key-value service, lapsed with it, or about to end unannounced. Its members are
-        // kept until it is back or has had the time to end.
+        // The head may serve without an entry: it may be cut off from the key-value service, its entry may have lapsed during an outage, or
+        // it may be about to end unannounced. Its members are kept until it returns or has had the time to end.
         group.stage = assembly_stage::closing;
         group.closing = close_method::cut;
         group.headLostSince = m_view.followedSince;
     } else if (isHoldingRequests(*head)) {
         group.stage = assembly_stage::serving;
-    } else if (!isWhole || !isAnyoneJoining) {
-        // What has not opened yet is formed anew: an order to join of the predecessor that comes late then finds another number.
+    } else if (!isWhole || !isAnyMemberJoining) {
+        // A group that has not opened is formed anew, so that the predecessor's late orders to join find another number of accepted orders.
         group.stage = assembly_stage::leaving;
     }
-    decide(m_state.groups[seen.id] = std::move(group), head == nullptr ? "adopted without a head" : "adopted");
+    logDecision(m_state.groups[reported.id] = std::move(group), head == nullptr ? "adopted without a head" : "adopted");
 }
 
-/// A head that serves although it belongs to no planned group was opened by an old order that came late.
-void assembly_round::closeStrays()
+/// Closes heads that serve but belong to no planned group, since an earlier order to open arrived late.
+void assembly_round::closeUnplannedHeads()
 {
-    for (const auto &seen : m_seen) {
-        const auto *head = seen.head();
+    for (const auto &reported : m_reportedGroups) {
+        const auto *head = reported.head();
         if (head == nullptr || !isHoldingRequests(*head) || isAvoided(head->id)) {
             continue;
         }
-        const auto planned = m_state.groups.find(seen.id);
-        if (planned != m_state.groups.end() && planned->second.formed >= seen.formed) {
+        const auto planned = m_state.groups.find(reported.id);
+        if (planned != m_state.groups.end() && planned->second.formed >= reported.formed) {
             continue;
         }
-        replica_order order{order_kind::close, head->id, head->address, seen.id, seen.formed, {}, {}, close_method::cut, 0, head->life};
-        m_state.avoidedUntil[head->id] = m_view.now + m_state.policy.orderRetry;
-        m_state.decisions.push_back(fmt::format("closing a head that no plan knows: group={} head={}", seen.id.value(), head->id.value()));
+        replica_order order{
+            order_kind::close, head->id, head->address, reported.id, reported.formed, {}, {}, close_method::cut, 0, head->life};
+        m_state.avoidedUntil[head->id] = m_view.now + m_state.policy.orderRetryDelay;
+        m_state.decisions.push_back(fmt::format("closing an unplanned head: group={} head={}", reported.id.value(), head->id.value()));
         m_orders.push_back(std::move(order));
     }
 }
--- a/Libraries/Assembly/plan_pacing.cpp
+++ b/Libraries/Assembly/plan_pacing.cpp
@@ -7,19 +7,19 @@
 
 namespace {
 
-/// What comes together is planned together.
-constexpr duration leastGatherTime(10);
-/// Nobody waits longer for an order that has become due.
-constexpr duration longestGatherTime(100);
-/// Of a small instance's processor a plan for thousands of replicas takes tens of milliseconds, and each answer asks for another one: with
-/// so many times a plan's time between two, most of the processor is left for sending what was planned.
-constexpr int timesThePlan = 3;
+/// Changes that arrive within this time are planned together.
+constexpr duration minBatchDelay(10);
+/// The longest time for which an order that has become due waits for the next plan.
+constexpr duration maxBatchDelay(100);
+/// Factor between a plan's duration and the delay after it. On a small instance a plan for thousands of replicas takes tens of milliseconds
+/// of processor time, and each answer triggers another one; the delay leaves most of the processor for sending the planned orders.
+constexpr int planTimeMultiple = 3;
 
 } // namespace
 
-duration gatherTimeAfter(duration planTime)
+duration batchDelayAfter(duration planTime)
 {
-    return std::clamp(planTime * timesThePlan, leastGatherTime, longestGatherTime);
+    return std::clamp(planTime * planTimeMultiple, minBatchDelay, maxBatchDelay);
 }
 
 } // namespace vetchpost
--- a/Libraries/Assembly/plan_pacing.h
+++ b/Libraries/Assembly/plan_pacing.h
@@ -5,7 +5,7 @@
 
 namespace vetchpost {
 
-/// How long a coordinator gathers changes and answers before it plans again, after a plan that took \a planTime.
-duration gatherTimeAfter(duration planTime);
+/// The time for which a coordinator batches changes and answers before it plans again, after a plan that took \a planTime.
+duration batchDelayAfter(duration planTime);
 
 } // namespace vetchpost
--- a/Libraries/Assembly/round_queries.cpp
+++ b/Libraries/Assembly/round_queries.cpp
@@ -48,7 +48,6 @@
     return replica.membership && replica.membership->rank == 0;
 }
 
-/// The member's state where it says that it stands in this formation; nothing otherwise.
 std::optional<member_state> assembly_round::stateOf(const planned_group &group, const planned_member &member) const
 {
     const auto *replica = find(member.instance);
@@ -62,7 +61,6 @@
     return member.hasJoined && stateOf(group, member) == member_state::ready;
 }
 
-/// Why a group cannot go on with these members; empty where it can.
 std::string assembly_round::memberProblem(const planned_group &group) const
 {
     for (const auto &member : group.members) {
@@ -71,7 +69,7 @@
             return "a member is gone: " + member.instance.value();
         }
         if (hasStartedAgain(member)) {
-            return "a member has started again: " + member.instance.value();
+            return "a member has restarted: " + member.instance.value();
         }
         if (replica->isDraining && mustReplaceNow(group, *replica)) {
             return "a member is about to leave: " + member.instance.value();
@@ -81,26 +79,26 @@
         }
         const bool isElsewhere = replica->membership && replica->membership->formed > group.formed;
         if (isElsewhere) {
-            return "a member stands in a later formation: " + member.instance.value();
+            return "a member has joined a later formation: " + member.instance.value();
         }
     }
     return {};
 }
 
-/// A leaving member stays while its head has work, for some seconds: its group serves on until a replacement is ready, or until shortly
-/// before the end. A leaving head takes nothing new.
-/// Nothing is replaced at once where an entry merely went: a cut between replicas and the key-value service would close groups all over,
-/// most of them for a member that serves on.
+/// A leaving head accepts no new requests, so its group must close at once. Another leaving member stays for some seconds while its head
+/// has work; the group serves until a replacement is ready or the member is about to end. A member whose entry merely vanished is not
+/// replaced early: a network partition between replicas and the key-value service would close groups in many domains, most of them for
+/// members that still serve.
 bool assembly_round::mustReplaceNow(const planned_group &group, const served_replica &leaving) const
 {
     if (leaving.id == group.members.front().instance || group.stage != assembly_stage::serving) {
         return true;
     }
     const auto since = m_state.drainingSince.find(leaving.id);
-    if (leaving.isUnlisted && !leaving.hasAnnounced) {
-        return since == m_state.drainingSince.end() || m_view.now - since->second >= m_state.policy.unlistedMemberStay;
+    if (leaving.isUnlisted && !leaving.hadReportedDraining) {
+        return since == m_state.drainingSince.end() || m_view.now - since->second >= m_state.policy.unlistedMemberGrace;
     }
-    if (since == m_state.drainingSince.end() || m_view.now - since->second >= m_state.policy.leavingStay) {
+    if (since == m_state.drainingSince.end() || m_view.now - since->second >= m_state.policy.leavingMemberGrace) {
         return true;
     }
     return std::any_of(m_view.directory.replicas.begin(), m_view.directory.replicas.end(), [&](const auto &entry) {
@@ -110,7 +108,6 @@
     });
 }
 
-/// Whether a live replica stands in no planned group.
 bool assembly_round::isUnused(const served_replica &replica) const
 {
     return isAlive(replica.id) && !isAvoided(replica.id)
@@ -121,7 +118,7 @@
            });
 }
 
-bool assembly_round::isAnyoneLost(const planned_group &group) const
+bool assembly_round::isAnyMemberLost(const planned_group &group) const
 {
     return std::any_of(group.members.begin(), group.members.end(), [&](const planned_member &member) { return isLost(member); });
 }
@@ -134,7 +131,7 @@
 bool assembly_round::hasStartedAgain(const planned_member &member) const
 {
     const auto *replica = find(member.instance);
-    return replica != nullptr && isAnotherLife(replica->life, member.life);
+    return replica != nullptr && isAnotherIncarnation(replica->life, member.life);
 }
 
 readiness assembly_round::readinessOf(const served_replica &replica, const model_id &model)
@@ -146,7 +143,7 @@
     return isStaged ? readiness::staged : readiness::must_load;
 }
 
-duration assembly_round::joinPatience(const planned_group &group) const
+duration assembly_round::joinTimeout(const planned_group &group) const
 {
     const auto *model = findModel(group.model);
     return m_state.policy.joinSlack + (model == nullptr ? duration() : 2 * model->loadTime);
@@ -163,7 +160,6 @@
     return isThere || model == nullptr || m_view.now - staging.since > m_state.policy.joinSlack + 2 * model->loadTime;
 }
 
-/// Whether so many more loads keep within the weight store's rate.
 bool assembly_round::mayLoad(std::size_t count) const
 {
     if (m_view.isBeforeTraffic) {
@@ -183,15 +179,15 @@
     return std::max(1.0, m_view.engine.loadsPerSecond * window * share);
 }
 
-/// Any number may begin then. But the first request comes unannounced, to some daemon: what leaves until this one hears of it is counted,
-/// and must keep within the rate. One group at a time may always load.
+/// Before the first request loads are not limited as such. But that request comes unannounced, to any daemon, so the loads that begin
+/// before this daemon learns of it must keep within the rate. One group at a time may always load.
 bool assembly_round::mayLoadBeforeTraffic(std::size_t count) const
 {
     const auto recent = recentLoads();
     return recent == 0 || static_cast<double>(recent + count) <= loadsPerWindow();
 }
 
-/// Those that began so lately that a first request may have come since, unheard.
+/// The number of loads that began within policy.trafficReportDelay, so that a first request may have preceded them.
 std::size_t assembly_round::recentLoads() const
 {
     return m_state.loads.size() - m_olderLoads;
@@ -203,38 +199,38 @@
     return replica != nullptr && readinessOf(*replica, group.model) == readiness::must_load;
 }
 
-/// How many orders a replica has taken: none where it has nothing to show for one.
-std::optional<std::uint64_t> assembly_round::ordersTaken(const instance_id &instance)
+/// A replica without a membership, a model or staged weights has accepted no orders. For another one the number is known from a probe.
+std::optional<std::uint64_t> assembly_round::acceptedOrders(const instance_id &instance)
 {
-    const auto known = m_state.ordersTaken.find(instance);
-    if (known != m_state.ordersTaken.end()) {
+    const auto known = m_state.acceptedOrders.find(instance);
+    if (known != m_state.acceptedOrders.end()) {
         return known->second;
     }
     const auto *replica = find(instance);
-    const bool isBlank = replica != nullptr && !replica->membership && !replica->model && replica->staged.empty();
-    if (!isBlank || m_state.stagings.contains(instance)) {
+    const bool isFresh = replica != nullptr && !replica->membership && !replica->model && replica->staged.empty();
+    if (!isFresh || m_state.stagings.contains(instance)) {
         return std::nullopt;
     }
-    m_state.ordersTaken[instance] = 0;
+    m_state.acceptedOrders[instance] = 0;
     return 0;
 }
 
 bool assembly_round::mayOrder(const planned_member &member) const
 {
-    return !member.isOrderUnderWay && m_view.now >= member.nextOrder;
+    return !member.isOrderPending && m_view.now >= member.nextOrder;
 }
 
-// Commands.
+// Stage changes and orders.
 
-void assembly_round::enter(planned_group &group, assembly_stage stage, const std::string &why)
+void assembly_round::enterStage(planned_group &group, assembly_stage stage, const std::string &why)
 {
     group.stage = stage;
     group.stageSince = m_view.now;
     m_counts.reset();
-    decide(group, fmt::format("{}: {}", assemblyStageName(stage), why));
+    logDecision(group, fmt::format("{}: {}", assemblyStageName(stage), why));
 }
 
-void assembly_round::decide(const planned_group &group, const std::string &what)
+void assembly_round::logDecision(const planned_group &group, const std::string &what)
 {
     std::string members;
     for (const auto &member : group.members) {
@@ -248,7 +244,7 @@
     if (!mayOrder(member)) {
         return;
     }
-    // Of a group that was formed before the first request: its loads are no longer free.
+    // The group may have been formed before the first request, when its loads were free; after it they count.
     const bool isCounted = !m_view.isBeforeTraffic && mustLoad(group, member);
     if (isCounted && !mayLoad(1)) {
         return;
@@ -263,8 +259,8 @@
 {
     replica_order order{kind, member.instance, member.address, group.id, group.formed, group.model, {}, group.closing};
     if (kind == order_kind::join) {
-        const auto known = ordersTaken(member.instance);
-        order.kind = known ? kind : order_kind::look;
+        const auto known = acceptedOrders(member.instance);
+        order.kind = known ? kind : order_kind::probe;
         order.expectedOrders = known.value_or(0);
     }
     order.life = member.life;
@@ -272,7 +268,7 @@
     for (const auto &other : group.members) {
         order.members.push_back(other.instance);
     }
-    member.isOrderUnderWay = true;
+    member.isOrderPending = true;
     m_orders.push_back(std::move(order));
 }
 
--- a/Libraries/Assembly/silent_replicas.cpp
+++ b/Libraries/Assembly/silent_replicas.cpp
@@ -7,40 +7,40 @@
 
 namespace {
 
-/// A replica that did not answer is believed dead for so long, unless it answers or its entry goes.
+/// A replica that did not answer is suspected for this time, unless it answers, restarts or its entry goes.
 constexpr duration suspicionTime(10000);
-/// How often a member without an entry is looked at.
-constexpr duration unlistedLookPeriod(800);
-/// So many of them within the time of a look: when many replicas are cut off from the key-value service, looks at all of them would take
-/// a small coordinator's processor, and its followers would hear nothing.
-constexpr std::size_t unlistedLooksAtOnce = 8;
-/// ... and one that did not answer: within the time for which it is suspected.
-constexpr duration silentLookPeriod(4000);
+/// Time between two probes of a member without an entry.
+constexpr duration unlistedProbePeriod(800);
+/// Number of members without an entry that are probed within one probeTimeout. If many replicas are cut off from the key-value service,
+/// probing all of them at once would use up a small coordinator's processor, and its followers would receive nothing.
+constexpr std::size_t unlistedProbesPerBatch = 8;
+/// Time between two probes of a suspected member without an entry; shorter than suspicionTime.
+constexpr duration silentProbePeriod(4000);
 
-// What has crashed says nothing any more: an entry that was changed after its replica was found silent shows that it lives. It has stopped
-// listening, or will soon, and still finishes requests: taken for dead, its members would be ordered into a second group. An entry that is
-// gone shows nothing.
-bool hasSpokenSince(const replica_directory &directory, const instance_id &id)
+// A crashed replica cannot change its entry, so one that marks itself as leaving after it was found silent is alive. It has stopped
+// listening, or soon will, and still finishes requests; if it were considered dead, its members would be ordered into a second group. An
+// entry that is gone proves nothing.
+bool hasReportedDrainingSince(const replica_directory &directory, const instance_id &id)
 {
     const auto found = directory.replicas.find(id);
-    return found != directory.replicas.end() && saysItLeaves(found->second);
+    return found != directory.replicas.end() && reportsDraining(found->second);
 }
 
-bool isOver(const suspicion &suspected, const replica_directory &directory, const instance_id &id, instant now)
+bool isExpired(const suspicion &suspected, const replica_directory &directory, const instance_id &id, instant now)
 {
     const auto found = directory.replicas.find(id);
-    return suspected.until <= now || found == directory.replicas.end() || isAnotherLife(found->second.life, suspected.life);
+    return suspected.until <= now || found == directory.replicas.end() || isAnotherIncarnation(found->second.life, suspected.life);
 }
 
 } // namespace
 
-silence_report reportSilence(silent_replicas &silent, const replica_directory &directory, instant now)
+suspicion_report updateSuspicions(silent_replicas &silent, const replica_directory &directory, instant now)
 {
     std::erase_if(silent.lastAnswered, [&](const auto &entry) { return !directory.replicas.contains(entry.first); });
-    std::erase_if(silent.suspected, [&](const auto &entry) { return isOver(entry.second, directory, entry.first, now); });
+    std::erase_if(silent.suspected, [&](const auto &entry) { return isExpired(entry.second, directory, entry.first, now); });
     std::erase_if(silent.notLeaving,
-                  [&](const instance_id &id) { return !silent.suspected.contains(id) || hasSpokenSince(directory, id); });
-    silence_report report;
+                  [&](const instance_id &id) { return !silent.suspected.contains(id) || hasReportedDrainingSince(directory, id); });
+    suspicion_report report;
     for (const auto &[id, suspected] : silent.suspected) {
         report.suspects.insert(id);
     }
@@ -48,75 +48,75 @@
     return report;
 }
 
-std::vector<served_replica> unlistedToLookAt(silent_replicas &silent, const replica_directory &directory, instant now)
+std::vector<served_replica> unlistedToProbe(silent_replicas &silent, const replica_directory &directory, instant now)
 {
-    std::erase_if(silent.lastLooks, [&](const auto &entry) { return !directory.replicas.contains(entry.first); });
-    if (now < silent.nextUnlistedLooks) {
+    std::erase_if(silent.lastProbes, [&](const auto &entry) { return !directory.replicas.contains(entry.first); });
+    if (now < silent.nextUnlistedProbes) {
         return {};
     }
     std::vector<std::pair<instant, const served_replica *>> due;
     for (const auto &[id, replica] : directory.replicas) {
-        const auto last = silent.lastLooks[id];
-        const auto period = silent.suspected.contains(id) ? silentLookPeriod : unlistedLookPeriod;
+        const auto last = silent.lastProbes[id];
+        const auto period = silent.suspected.contains(id) ? silentProbePeriod : unlistedProbePeriod;
         if (replica.isUnlisted && now - last >= period) {
             due.emplace_back(last, &replica);
         }
     }
-    // Those first that were looked at longest ago.
+    // The replicas whose last probe is the oldest come first.
     std::stable_sort(due.begin(), due.end(), [](const auto &left, const auto &right) { return left.first < right.first; });
-    due.resize(std::min(due.size(), unlistedLooksAtOnce));
-    std::vector<served_replica> looked;
+    due.resize(std::min(due.size(), unlistedProbesPerBatch));
+    std::vector<served_replica> chosen;
     for (const auto &[last, replica] : due) {
-        silent.lastLooks[replica->id] = now;
-        looked.push_back(*replica);
+        silent.lastProbes[replica->id] = now;
+        chosen.push_back(*replica);
     }
-    if (!looked.empty()) {
-        silent.nextUnlistedLooks = now + lookTimeout;
+    if (!chosen.empty()) {
+        silent.nextUnlistedProbes = now + probeTimeout;
     }
-    return looked;
+    return chosen;
 }
 
 std::vector<served_replica>
-membersToLookAt(silent_replicas &silent, const replica_directory &directory, const instance_id &head, instant now)
+membersToProbe(silent_replicas &silent, const replica_directory &directory, const instance_id &head, instant now)
 {
-    std::vector<served_replica> looked;
+    std::vector<served_replica> chosen;
     const auto found = directory.replicas.find(head);
     if (found == directory.replicas.end() || !found->second.membership) {
-        return looked;
+        return chosen;
     }
     for (const auto &[id, replica] : directory.replicas) {
         const bool isMember = replica.membership && replica.membership->group == found->second.membership->group;
         if (!isMember || silent.suspected.contains(id)) {
             continue;
         }
-        auto &last = silent.lastLooks[id];
-        if (now - last >= lookTimeout * 2) {
+        auto &last = silent.lastProbes[id];
+        if (now - last >= probeTimeout * 2) {
             last = now;
-            looked.push_back(replica);
+            chosen.push_back(replica);
         }
     }
-    return looked;
+    return chosen;
 }
 
-bool noteLook(silent_replicas &silent, const instance_id &replica, const direct_look &look)
+bool recordProbe(silent_replicas &silent, const instance_id &replica, const direct_probe &probe)
 {
     const auto known = silent.suspected.find(replica);
     const bool isSuspected = known != silent.suspected.end();
-    if (isSuspected && known->second.began > look.began) {
+    if (isSuspected && known->second.began > probe.began) {
         return false;
     }
     auto &answered = silent.lastAnswered[replica];
-    if (look.hasAnswered) {
-        answered = std::max(answered, look.began);
+    if (probe.hasAnswered) {
+        answered = std::max(answered, probe.began);
         silent.suspected.erase(replica);
         silent.notLeaving.erase(replica);
         return false;
     }
-    if (answered > look.began) {
+    if (answered > probe.began) {
         return false;
     }
-    const bool isNew = !isSuspected || isAnotherLife(known->second.life, look.life);
-    silent.suspected[replica] = {look.began, look.began + suspicionTime, look.life};
+    const bool isNew = !isSuspected || isAnotherIncarnation(known->second.life, probe.life);
+    silent.suspected[replica] = {probe.began, probe.began + suspicionTime, probe.life};
     return isNew;
 }
 
--- a/Libraries/Assembly/silent_replicas.h
+++ b/Libraries/Assembly/silent_replicas.h
@@ -10,59 +10,61 @@
 
 namespace vetchpost {
 
-/// A live replica answers a direct look within this time, also under load.
-constexpr duration lookTimeout(200);
+/// A live replica answers a probe within this time, even under load.
+constexpr duration probeTimeout(200);
 
-/// What the coordinator found when it looked at a replica directly.
-struct direct_look
+/// The result of one probe that the coordinator sent to a replica.
+struct direct_probe
 {
     instant began;
     bool hasAnswered = false;
-    /// The start of the replica that was looked at.
+    /// The incarnation of the replica that was probed.
     replica_life life = {};
 };
 
-/// A replica that is believed dead.
+/// Suspicion that a replica is dead.
 struct suspicion
 {
-    /// When the look began that it stands on.
+    /// When the probe began that it is based on.
     instant began;
     instant until;
     replica_life life;
 };
 
-/// Replicas that did not answer when the coordinator looked at them directly.
+/// Failure detector state: replicas that did not answer the coordinator's probes.
 struct silent_replicas
 {
-    /// Believed dead, unless they answer, start again or their entry goes.
+    /// Replicas that are suspected dead until they answer, restart, their entry goes or the suspicion expires.
     std::map<instance_id, suspicion> suspected;
-    /// Of these the ones whose entry, read afterwards, said that they do not leave.
+    /// Suspected replicas whose entry was read afterwards and did not mark them as leaving.
     std::set<instance_id> notLeaving;
-    std::map<instance_id, instant> lastLooks;
-    /// When the latest look began that each replica answered.
+    std::map<instance_id, instant> lastProbes;
+    /// When the latest answered probe of each replica began.
     std::map<instance_id, instant> lastAnswered;
-    /// No member without an entry is looked at before.
-    instant nextUnlistedLooks;
+    /// Members without an entry are not probed before this.
+    instant nextUnlistedProbes;
 };
 
-/// What planning is told of them.
-struct silence_report
+/// The suspects, as planning needs them.
+struct suspicion_report
 {
     std::set<instance_id> suspects;
-    /// Of these the ones that do not leave.
+    /// Suspects that are known not to be leaving.
     std::set<instance_id> notLeaving;
 };
 
-/// Forgets what is too old or of replicas that are gone, and tells the rest.
-silence_report reportSilence(silent_replicas &silent, const replica_directory &directory, instant now);
-/// Members of groups without an entry that are to be looked at now; they are believed as long as they answer. Notes that they are.
-std::vector<served_replica> unlistedToLookAt(silent_replicas &silent, const replica_directory &directory, instant now);
-/// The members of the group that a replica heads, as far as they were not looked at just now and are not suspected. Notes that they are.
+/// Drops suspicions that have expired, or whose replicas have restarted or are no longer listed, and returns the remaining ones.
+suspicion_report updateSuspicions(silent_replicas &silent, const replica_directory &directory, instant now);
+/// Chooses the replicas without an entry that are to be probed now, and records \a now as their last probe. Such replicas count as alive as
+/// long as they answer.
+std::vector<served_replica> unlistedToProbe(silent_replicas &silent, const replica_directory &directory, instant now);
+/// Chooses the members of the group of \a head that are to be probed now, and records \a now as their last probe. Suspected members and
+/// those that were probed a moment ago are left out.
 std::vector<served_replica>
-membersToLookAt(silent_replicas &silent, const replica_directory &directory, const instance_id &head, instant now);
-/// Takes in what a look found, unless a later one has been taken in; true where the replica was not suspected before and is now.
-bool noteLook(silent_replicas &silent, const instance_id &replica, const direct_look &look);
-/// The head of the group that a replica says it stands in.
+membersToProbe(silent_replicas &silent, const replica_directory &directory, const instance_id &head, instant now);
+/// Records the result of a probe, unless one that began later has been recorded. Returns whether the replica has become suspected by it.
+bool recordProbe(silent_replicas &silent, const instance_id &replica, const direct_probe &probe);
+/// The head of the group that a replica reports as its own; nothing if no replica reports itself as the head of that formation.
 std::optional<instance_id> headOfGroup(const replica_directory &directory, const served_replica &replica);
 
 } // namespace vetchpost
--- a/Libraries/Entry/assembly_metrics.cpp
+++ b/Libraries/Entry/assembly_metrics.cpp
@@ -14,7 +14,7 @@
 constexpr auto strandedName = "vetchpost_replicas_stranded";
 constexpr auto strandedHelp = "Usable replicas in no group while a model has fewer groups than wanted.";
 
-bool lacksGroups(const model_standing &standing)
+bool lacksGroups(const model_group_counts &standing)
 {
     return standing.serving < standing.wanted;
 }
@@ -30,7 +30,10 @@
 {
 }
 
-void assembly_metrics::recordModels(const service_id &service, const std::vector<model_standing> &standings, std::size_t free, instant now)
+void assembly_metrics::recordModels(const service_id &service,
+                                    const std::vector<model_group_counts> &standings,
+                                    std::size_t free,
+                                    instant now)
 {
     const std::lock_guard lock(m_mutex);
     for (const auto &standing : standings) {
@@ -45,7 +48,7 @@
     const auto count = static_cast<double>(free);
     findOrAddGauge(freeName, freeHelp, {{"service", service.value()}}).set(count);
     findOrAddGauge(strandedName, strandedHelp, {{"service", service.value()}}).set(doesAnyLackGroups ? count : 0);
-    for (const auto time : vetchpost::noteStandings(m_repairWatches[service], standings, now)) {
+    for (const auto time : vetchpost::recordGroupCounts(m_repairWatches[service], standings, now)) {
         m_repairTime.observe(secondsOf(time));
     }
 }
@@ -53,13 +56,13 @@
 void assembly_metrics::recordStallReport(const instance_id &head, instant now)
 {
     const std::lock_guard lock(m_mutex);
-    vetchpost::noteTold(m_stallWatch, head, now);
+    vetchpost::recordStallReport(m_stallWatch, head, now);
 }
 
 void assembly_metrics::recordSilentMember(const instance_id &head, instant now)
 {
     const std::lock_guard lock(m_mutex);
-    if (const auto time = vetchpost::noteFound(m_stallWatch, head, now)) {
+    if (const auto time = vetchpost::recordDetection(m_stallWatch, head, now)) {
         m_detectionTime.observe(secondsOf(*time));
     }
 }
@@ -71,7 +74,7 @@
         value.set(0);
     }
     m_repairWatches.clear();
-    m_stallWatch = loss_watch();
+    m_stallWatch = loss_timer();
 }
 
 const gauge &assembly_metrics::findOrAddGauge(const std::string &name, const std::string &help, const std::vector<metric_label> &labels)
--- a/Libraries/Entry/assembly_metrics.h
+++ b/Libraries/Entry/assembly_metrics.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #pragma once
 
-#include "Libraries/Assembly/loss_watch.h"
+#include "Libraries/Assembly/loss_timer.h"
 #include "Libraries/Base/metrics.h"
 
 #include <map>
@@ -19,7 +19,7 @@
 
     /// Updates the gauges of a service's groups and of its \a free replicas (usable, in no group), and records the repair time of each
     /// model that has all wanted groups again.
-    void recordModels(const service_id &service, const std::vector<model_standing> &standings, std::size_t free, instant now);
+    void recordModels(const service_id &service, const std::vector<model_group_counts> &standings, std::size_t free, instant now);
     /// Records that a daemon reported the group of \a head as stalled.
     void recordStallReport(const instance_id &head, instant now);
     /// Records that a member of the group of \a head did not answer a probe, and with it the detection time of a reported stall.
@@ -37,8 +37,8 @@
     std::mutex m_mutex;
     /// Gauges by name and label values. Added at run time, since models and services come with the configuration.
     std::map<std::string, gauge> m_gauges;
-    std::map<service_id, loss_watch> m_repairWatches;
-    loss_watch m_stallWatch;
+    std::map<service_id, loss_timer> m_repairWatches;
+    loss_timer m_stallWatch;
 };
 
 } // namespace vetchpost
--- a/Libraries/Entry/assembly_runner.cpp
+++ b/Libraries/Entry/assembly_runner.cpp
@@ -2,8 +2,8 @@
 #include "Libraries/Entry/assembly_runner.h"
 
 #include "Libraries/Assembly/coordination_term.h"
-#include "Libraries/Assembly/own_trouble.h"
 #include "Libraries/Assembly/plan_pacing.h"
+#include "Libraries/Assembly/self_check.h"
 #include "Libraries/Base/digest.h"
 #include "Libraries/Base/event_log.h"
 #include "Libraries/Base/worker_pool.h"
@@ -112,7 +112,7 @@
             const auto now = monotonicNow();
             if (mustHandOver(now)) {
                 handOver();
-                nextAttempt = now + restAfterTrouble;
+                nextAttempt = now + handOverBackoff;
             } else if (holdsTerm(now)) {
                 renewIfDue(now);
                 const auto planStart = monotonicNow();
@@ -127,7 +127,7 @@
             }
             std::unique_lock lock(mutex);
             // Changes and answers arrive in bursts, which are gathered into one plan.
-            wake.wait_for(lock, gatherTimeAfter(planTime), [this] { return isStopping; });
+            wake.wait_for(lock, batchDelayAfter(planTime), [this] { return isStopping; });
             wake.wait_for(lock, coordinatorPeriod, [this] { return isStopping || mustPlan; });
             if (isStopping) {
                 return;
@@ -299,14 +299,14 @@
     /// Plans one service and appends its orders to \a planned. Requires the mutex to be held.
     void planService(const served_service &service,
                      const replica_directory &directory,
-                     const silence_report &silence,
+                     const suspicion_report &silence,
                      instant now,
                      std::vector<replica_order> &planned)
     {
         auto &assembly = assemblies[service.id];
         assembly.term = term->number;
-        assembly.policy.silentHeadWait = settings.stallTime;
-        noteDemand(assembly.demand, demandOf(service.id), now);
+        assembly.policy.silentHeadTimeout = settings.stallTime;
+        updateDemand(assembly.demand, demandOf(service.id), now);
         const assembly_view view{directory,
                                  service.id,
                                  *service.engine,
@@ -317,7 +317,7 @@
                                  store.followedSince().value_or(now)};
         auto next = planAssembly(assembly, view);
         if (!assembly.decisions.empty() || now >= nextStatusLog) {
-            groupMetrics.recordModels(service.id, standingOf(assembly, *service.engine), assembly.idleSince.size(), now);
+            groupMetrics.recordModels(service.id, groupCounts(assembly, *service.engine), assembly.idleSince.size(), now);
         }
         for (const auto &decision : assembly.decisions) {
             assemblyLog.write("decided", {{"term", term->number}, {"what", decision}});
@@ -369,7 +369,7 @@
         {
             const std::lock_guard lock(mutex);
             for (auto &[service, assembly] : assemblies) {
-                noteOrderResult(assembly, order, answer, monotonicNow());
+                recordOrderResult(assembly, order, answer, monotonicNow());
             }
         }
         planSoon();
--- a/Libraries/Entry/crash_guard.cpp
+++ b/Libraries/Entry/crash_guard.cpp
@@ -47,7 +47,7 @@
     {
         const auto directory = store.directory();
         const auto known = directory->replicas.find(replica);
-        return known != directory->replicas.end() && (saysItLeaves(known->second) || known->second.hasAnnounced);
+        return known != directory->replicas.end() && (reportsDraining(known->second) || known->second.hadReportedDraining);
     }
 };
 
--- a/Libraries/Entry/entry_daemon.cpp
+++ b/Libraries/Entry/entry_daemon.cpp
@@ -9,7 +9,7 @@
 #include "Libraries/Entry/request_run.h"
 #include "Libraries/Platform/measured_store.h"
 #include "Libraries/Platform/paced_service.h"
-#include "Libraries/Routing/key_bound.h"
+#include "Libraries/Routing/key_revocation_policy.h"
 
 #include <atomic>
 #include <functional>
@@ -172,8 +172,9 @@
 
     bool isReady() const
     {
-        const key_bound bound{settings.keyRevocation, settings.isKeyRevocationStrict};
-        return !relay.isDraining && store.listedAt() && areKeysUsableForAWhile(bound, store.configurationKnowledge(), monotonicNow());
+        const key_revocation_policy bound{settings.keyRevocation, settings.isKeyRevocationStrict};
+        return !relay.isDraining && store.listedAt()
+            && areKeysUsableForNewConnections(bound, store.configurationKnowledge(), monotonicNow());
     }
 
     void serveClient(http_exchange &exchange)
--- a/Libraries/Entry/entry_view.cpp
+++ b/Libraries/Entry/entry_view.cpp
@@ -158,7 +158,7 @@
             }
             for (const auto &group : groupsOf(directory, service.id)) {
                 for (const auto &model : service.engine->models) {
-                    if (model.id == group.model && takesRequests(group, model.size)) {
+                    if (model.id == group.model && acceptsRequests(group, model.size)) {
                         view->groups[{service.id, model.id}].push_back(makeBackend(*group.head(), group.id, group.formed));
                     }
                 }
--- a/Libraries/Entry/group_status_log.cpp
+++ b/Libraries/Entry/group_status_log.cpp
@@ -15,7 +15,7 @@
 void logGroupStatus(const assembly_view &view, const assembly_state &assembly)
 {
     assemblyLog.write("domains", {{"service", view.service.value()}, {"what", summariseDomains(assembly, view)}});
-    for (const auto &model : standingOf(assembly, view.engine)) {
+    for (const auto &model : groupCounts(assembly, view.engine)) {
         assemblyLog.write("standing",
                           {{"service", view.service.value()},
                            {"model", model.model.value()},
--- a/Libraries/Entry/relay_context.cpp
+++ b/Libraries/Entry/relay_context.cpp
@@ -63,7 +63,7 @@
     return areKeysUsable(keyBound(), m_store.configurationCurrentAt(), now);
 }
 
-key_bound relay_context::keyBound() const
+key_revocation_policy relay_context::keyBound() const
 {
     return {m_settings.keyRevocation, m_settings.isKeyRevocationStrict};
 }
@@ -96,7 +96,8 @@
 refusal_scope relay_context::scopeOfStaleConfiguration(instant now) const
 {
     const auto known = m_store.configurationKnowledge();
-    return vetchpost::scopeOfStaleConfiguration(known.currentAt.has_value(), m_store.isServiceAnswering(), isLeftBehind(known, now));
+    return vetchpost::scopeOfStaleConfiguration(
+        known.currentAt.has_value(), m_store.isServiceAnswering(), isConfigurationStale(known, now));
 }
 
 void relay_context::noteNotice(const backend &place, const replica_notice &notice, const request_id &request)
--- a/Libraries/Entry/relay_context.h
+++ b/Libraries/Entry/relay_context.h
@@ -99,7 +99,7 @@
     counter retried;
 
 private:
-    key_bound keyBound() const;
+    key_revocation_policy keyBound() const;
     retry_budget &budgetOf(const service_id &service);
 
     const entry_settings &m_settings;
--- a/Libraries/Entry/replica_end_check.cpp
+++ b/Libraries/Entry/replica_end_check.cpp
@@ -47,12 +47,12 @@
         return replica_end_finding::unknown;
     }
     replica_order look;
-    look.kind = order_kind::look;
+    look.kind = order_kind::probe;
     look.to = target.replica;
     const auto answer = m_dialect.readOrderAnswer(look, *reply);
     const bool isReplaced = answer.result == order_result::gone;
-    const bool tellsLife = answer.result == order_result::taken && answer.life != replica_life();
-    const bool isRestarted = tellsLife && isAnotherLife(answer.life, target.life);
+    const bool tellsLife = answer.result == order_result::accepted && answer.life != replica_life();
+    const bool isRestarted = tellsLife && isAnotherIncarnation(answer.life, target.life);
     return isReplaced || isRestarted ? replica_end_finding::has_ended : replica_end_finding::is_there;
 }
 
--- a/Libraries/Entry/replica_entries.cpp
+++ b/Libraries/Entry/replica_entries.cpp
@@ -27,7 +27,7 @@
         return;
     }
     const auto known = directory.replicas.find(replica.id);
-    const bool isFirstSeen = known == directory.replicas.end() || isAnotherLife(known->second.life, replica.life);
+    const bool isFirstSeen = known == directory.replicas.end() || isAnotherIncarnation(known->second.life, replica.life);
     if (isFirstSeen) {
         directory.leavingSince.erase(replica.id);
     }
@@ -39,7 +39,7 @@
 /// domains whose members could serve at once.
 served_replica withModelKept(served_replica replica, const served_replica &before)
 {
-    if (!replica.model && !isAnotherLife(replica.life, before.life)) {
+    if (!replica.model && !isAnotherIncarnation(replica.life, before.life)) {
         replica.model = before.model;
     }
     return replica;
@@ -61,7 +61,7 @@
     entries.directory.leavingSince.try_emplace(replica, now);
     if (!known->second.isUnlisted) {
         // The same removal may be received twice, from the source and from the service.
-        known->second.hasAnnounced = known->second.isDraining;
+        known->second.hadReportedDraining = known->second.isDraining;
     }
     known->second.isDraining = true;
     known->second.isUnlisted = true;
@@ -150,8 +150,8 @@
 {
     return std::all_of(leaving.begin(), leaving.end(), [&](const auto &entry) {
         const auto found = directory.replicas.find(entry.first.replica);
-        const bool isSameIncarnation = found != directory.replicas.end() && !isAnotherLife(found->second.life, entry.first.life);
-        return !isSameIncarnation || saysItLeaves(found->second) || found->second.hasAnnounced;
+        const bool isSameIncarnation = found != directory.replicas.end() && !isAnotherIncarnation(found->second.life, entry.first.life);
+        return !isSameIncarnation || reportsDraining(found->second) || found->second.hadReportedDraining;
     });
 }
 
@@ -159,13 +159,13 @@
 {
     for (const auto &[key, since] : leaving) {
         const auto found = directory.replicas.find(key.replica);
-        if (found == directory.replicas.end() || isAnotherLife(found->second.life, key.life)) {
+        if (found == directory.replicas.end() || isAnotherIncarnation(found->second.life, key.life)) {
             continue;
         }
         auto &replica = found->second;
         replica.isDraining = true;
         // Its entry may have been removed before it announced that it leaves.
-        replica.hasAnnounced = replica.hasAnnounced || replica.isUnlisted;
+        replica.hadReportedDraining = replica.hadReportedDraining || replica.isUnlisted;
         const auto [known, isNew] = directory.leavingSince.try_emplace(key.replica, since);
         known->second = std::min(known->second, since);
     }
--- a/Libraries/Entry/replica_prober.cpp
+++ b/Libraries/Entry/replica_prober.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "Libraries/Entry/replica_prober.h"
 
-#include "Libraries/Assembly/own_trouble.h"
+#include "Libraries/Assembly/self_check.h"
 #include "Libraries/Base/event_log.h"
 #include "Libraries/Base/worker_pool.h"
 #include "Libraries/Http/http_client.h"
@@ -49,7 +49,7 @@
     answer_listener didAnswer;
     mutable std::mutex mutex;
     silent_replicas silent;
-    own_trouble trouble;
+    self_check_state trouble;
     /// Number of self-checks so far; varies the choice of reference replicas.
     std::uint64_t checks = 0;
     counter voidProbes;
@@ -109,17 +109,17 @@
         std::vector<served_replica> references;
         {
             const std::lock_guard lock(mutex);
-            if (wasSoundSince(trouble, began)) {
+            if (hasPassedSince(trouble, began)) {
                 return true;
             }
             std::set<instance_id> suspected;
             for (const auto &[id, entry] : silent.suspected) {
                 suspected.insert(id);
             }
-            references = referencesFor(*store.directory(), silentReplica, suspected, ++checks);
+            references = chooseReferenceReplicas(*store.directory(), silentReplica, suspected, ++checks);
         }
         const auto checkBegan = monotonicNow();
-        const auto needed = answersNeeded(references.size());
+        const auto needed = requiredAnswers(references.size());
         std::size_t answered = 0;
         for (const auto &reference : references) {
             reason ignored;
@@ -134,9 +134,9 @@
     void finishSelfCheck(instant began, std::size_t answered, std::size_t needed)
     {
         const std::lock_guard lock(mutex);
-        const bool wasInTrouble = isInTrouble(trouble);
-        noteCheck(trouble, began, answered >= needed);
-        if (isInTrouble(trouble) != wasInTrouble) {
+        const bool wasInTrouble = isSelfCheckFailing(trouble);
+        recordSelfCheck(trouble, began, answered >= needed);
+        if (isSelfCheckFailing(trouble) != wasInTrouble) {
             assemblyLog.write(wasInTrouble ? "own_trouble_over" : "own_trouble", {{"answered", answered}, {"needed", needed}});
         }
     }
@@ -146,7 +146,7 @@
     {
         reason why;
         const auto began = monotonicNow();
-        const auto result = callReplica(replica, lookTimeout, why);
+        const auto result = callReplica(replica, probeTimeout, why);
         const bool hasAnswered = result == probe_result::answers;
         const bool isConclusive = result != probe_result::is_silent || isSoundSince(began, replica);
         assemblyLog.write("looked",
@@ -162,7 +162,7 @@
         bool isNew = false;
         {
             const std::lock_guard lock(mutex);
-            isNew = noteLook(silent, replica.id, {began, hasAnswered, replica.life});
+            isNew = recordProbe(silent, replica.id, {began, hasAnswered, replica.life});
         }
         if (!hasAnswered) {
             didChange();
@@ -233,14 +233,14 @@
     return vetchpost::mustHandOver(d->trouble, now);
 }
 
-silence_report replica_prober::report(const replica_directory &directory, instant now)
+suspicion_report replica_prober::report(const replica_directory &directory, instant now)
 {
     std::vector<served_replica> targets;
-    silence_report report;
+    suspicion_report report;
     {
         const std::lock_guard lock(d->mutex);
-        report = reportSilence(d->silent, directory, now);
-        targets = unlistedToLookAt(d->silent, directory, now);
+        report = updateSuspicions(d->silent, directory, now);
+        targets = unlistedToProbe(d->silent, directory, now);
     }
     d->probeAll(targets);
     return report;
@@ -254,7 +254,7 @@
     std::vector<served_replica> targets;
     {
         const std::lock_guard lock(d->mutex);
-        targets = membersToLookAt(d->silent, *directory, head, now);
+        targets = membersToProbe(d->silent, *directory, head, now);
     }
     d->probeAll(targets);
 }
--- a/Libraries/Entry/replica_prober.h
+++ b/Libraries/Entry/replica_prober.h
@@ -33,7 +33,7 @@
     /// Discards all findings, at the beginning of a term.
     void reset();
     /// Starts the due probes of group members without an entry, and returns the replicas that are known to be silent.
-    silence_report report(const replica_directory &directory, instant now);
+    suspicion_report report(const replica_directory &directory, instant now);
     /// Starts probes of all members of the group of \a head.
     void probeGroup(const instance_id &head);
     /// Whether this daemon itself has been in trouble for so long (too few reference replicas answer it) that another one should become the
--- a/Libraries/Entry/store_follower.cpp
+++ b/Libraries/Entry/store_follower.cpp
@@ -209,7 +209,7 @@
     return d->currentAt;
 }
 
-configuration_knowledge store_follower::configurationKnowledge() const
+configuration_freshness store_follower::configurationKnowledge() const
 {
     const std::lock_guard lock(d->mutex);
     return {d->currentAt, d->sourceCurrentAt};
--- a/Libraries/Entry/store_follower.h
+++ b/Libraries/Entry/store_follower.h
@@ -7,7 +7,7 @@
 #include "Libraries/Feed/feed_timing.h"
 #include "Libraries/Platform/key_value_service.h"
 #include "Libraries/Requests/replica_constraints.h"
-#include "Libraries/Routing/key_bound.h"
+#include "Libraries/Routing/key_revocation_policy.h"
 #include "Libraries/Routing/route_table.h"
 
 #include <functional>
@@ -76,7 +76,7 @@
     /// Returns the latest time at which the configuration is known to have been the newest: the start of a read, here or at the source.
     std::optional<instant> configurationCurrentAt() const;
     /// Returns when the configuration here, and that of the source, were last known to be the newest.
-    configuration_knowledge configurationKnowledge() const;
+    configuration_freshness configurationKnowledge() const;
     /// Whether the key-value service answered this daemon's last call.
     bool isServiceAnswering() const;
     /// Returns when the last complete listing began; nothing before the first one.
--- a/Libraries/Routing/replica_directory.cpp
+++ b/Libraries/Routing/replica_directory.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-/// A rank beyond any real group's size can only be a broken word.
+/// Ranks above this exceed any real group's size and mark an invalid report.
 constexpr int largestRank = 1024;
 
-void place(seen_group &group, const served_replica &replica)
+void addMember(reported_group &group, const served_replica &replica)
 {
     const auto rank = static_cast<std::size_t>(replica.membership->rank);
     if (group.members.size() <= rank) {
@@ -24,9 +24,9 @@
 
 } // namespace
 
-std::vector<seen_group> groupsOf(const replica_directory &directory, const service_id &service)
+std::vector<reported_group> groupsOf(const replica_directory &directory, const service_id &service)
 {
-    std::map<group_id, seen_group> groups;
+    std::map<group_id, reported_group> groups;
     for (const auto &[id, replica] : directory.replicas) {
         const auto &membership = replica.membership;
         if (replica.service != service || !membership || membership->rank < 0 || membership->rank > largestRank) {
@@ -39,9 +39,9 @@
         if (group.formed < membership->formed) {
             group = {membership->group, membership->formed, {}, {}};
         }
-        place(group, replica);
+        addMember(group, replica);
     }
-    std::vector<seen_group> result;
+    std::vector<reported_group> result;
     result.reserve(groups.size());
     for (auto &[id, group] : groups) {
         result.push_back(std::move(group));
@@ -49,7 +49,7 @@
     return result;
 }
 
-bool takesRequests(const seen_group &group, int size)
+bool acceptsRequests(const reported_group &group, int size)
 {
     const auto *head = group.head();
     const bool isOpen = head != nullptr && head->membership->state == member_state::open && !head->isDraining;
--- a/Libraries/Routing/replica_directory.h
+++ b/Libraries/Routing/replica_directory.h
@@ -10,26 +10,26 @@
 #include <optional>
 #include <vector>
 
-/// What replicas say of themselves, and the groups that follow from it.
+/// The state that replicas report of themselves, and the groups that follow from the reports.
 namespace vetchpost {
 
-/// Rises with each forming of a group, over all groups.
+/// Number of one formation of a group. It increases with each formation, over all groups.
 using formation = sequence<struct formation_tag>;
 
 enum class member_state {
-    /// Loads or takes its place.
+    /// The member loads weights or joins its group.
     joining,
-    /// Has its place; a head in this state serves nothing yet.
+    /// The member has joined; a head in this state does not serve yet.
     ready,
-    /// A head that serves.
+    /// The head serves.
     open,
-    /// A head that finishes what it holds.
+    /// The head finishes the requests that it holds.
     closing,
-    /// A head that lost a member and gave up.
+    /// The head lost a member and has given up.
     broken
 };
 
-/// A replica's place in a group, by its own word.
+/// A replica's membership in a group, as it reports it.
 struct group_membership
 {
     group_id group;
@@ -41,42 +41,42 @@
     auto operator<=>(const group_membership &) const = default;
 };
 
-/// One start of one replica.
+/// One incarnation of one replica.
 struct served_replica
 {
     instance_id id;
-    /// "Never" where the replica does not tell its lives apart: then each has an id of its own.
+    /// "Never" if the replica does not report its incarnation; then each incarnation has its own id.
     replica_life life;
     service_id service;
     endpoint address;
     data_centre_id dataCentre;
-    /// Requests that it runs at once.
+    /// Number of requests that it can run concurrently.
     int slots = 0;
-    /// It is about to end and takes no new work.
+    /// It is about to end and accepts no new work.
     bool isDraining = false;
-    /// Its entry is gone though nothing says that it has ended: it may be cut off from the key-value service, or end unannounced. It is
+    /// Its entry is gone although nothing shows that it has ended: it may be cut off from the key-value service, or end unannounced. It is
     /// treated as draining.
     bool isUnlisted = false;
-    /// It had said that it leaves before its entry went.
-    bool hasAnnounced = false;
+    /// It had reported that it is draining before its entry went.
+    bool hadReportedDraining = false;
     fabric_domain_id domain;
-    /// Models whose weights lie on its host.
+    /// Models whose weights are on its host.
     std::vector<model_id> staged;
-    /// The model that it runs or loads, or ran last in this life.
+    /// The model that it runs or loads, or the last one that this incarnation ran.
     std::optional<model_id> model;
     std::optional<group_membership> membership;
 
     auto operator<=>(const served_replica &) const = default;
 };
 
-/// Whether two words of one id come from different starts: the later one holds and knows nothing of the earlier.
-inline bool isAnotherLife(replica_life one, replica_life other)
+/// Whether two reports under one id come from different incarnations. A later incarnation has no state of an earlier one.
+inline bool isAnotherIncarnation(replica_life one, replica_life other)
 {
     return one != other;
 }
 
-/// Whether the replica itself has said that it is about to end.
-inline bool saysItLeaves(const served_replica &replica)
+/// Whether the replica itself reports that it is about to end.
+inline bool reportsDraining(const served_replica &replica)
 {
     return replica.isDraining && !replica.isUnlisted;
 }
@@ -84,17 +84,18 @@
 struct replica_directory
 {
     std::map<instance_id, served_replica> replicas;
-    /// Since when this daemon knows of each replica that says it leaves; the beginning of time where it was leaving when it was first seen.
+    /// Since when this daemon has known that each leaving replica reports itself as draining; the epoch of the clock if it did so when it
+    /// was first seen.
     std::map<instance_id, instant> leavingSince = {};
 };
 
-/// A group as its members tell it.
-struct seen_group
+/// A group as its members report it.
+struct reported_group
 {
     group_id id;
     formation formed;
     model_id model;
-    /// By rank; nullptr where nobody says that he has the rank. Points into the directory.
+    /// Members by rank; nullptr for a rank that no replica reports. Points into the directory.
     std::vector<const served_replica *> members;
 
     const served_replica *head() const
@@ -103,11 +104,11 @@
     }
 };
 
-/// The groups of a service, each under its latest formation alone.
-std::vector<seen_group> groupsOf(const replica_directory &directory, const service_id &service);
+/// The groups of a service, each with the members of its latest formation only.
+std::vector<reported_group> groupsOf(const replica_directory &directory, const service_id &service);
 
-/// Whether a group takes requests: an open head that does not leave, and all members of its model's size present. A member that leaves
-/// stays while its head has work; the coordinator closes the head before it ends.
-bool takesRequests(const seen_group &group, int size);
+/// Whether a group accepts requests: its head is open and not draining, and all \a size members are present. A leaving member stays while
+/// its head has work, and the coordinator closes the head before that member ends.
+bool acceptsRequests(const reported_group &group, int size);
 
 } // namespace vetchpost
--- a/Libraries/Routing/route_table.cpp
+++ b/Libraries/Routing/route_table.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Host names are compared without case and without the port.
+/// The lower-case host name without a port, by which routes are compared.
 std::string hostKey(std::string_view host)
 {
     std::string key(host.substr(0, host.find(':')));
@@ -54,10 +54,10 @@
     if (found == m_routes.end()) {
         return nullptr;
     }
-    const auto fitting = std::find_if(found->second.begin(), found->second.end(), [&](std::size_t position) {
+    const auto matching = std::find_if(found->second.begin(), found->second.end(), [&](std::size_t position) {
         return path.starts_with(m_configuration.routes[position].pathPrefix);
     });
-    return fitting == found->second.end() ? nullptr : &m_configuration.routes[*fitting];
+    return matching == found->second.end() ? nullptr : &m_configuration.routes[*matching];
 }
 
 const served_organisation *route_table::findOrganisation(const std::string &key) const
@@ -72,7 +72,7 @@
     return found == m_services.end() ? nullptr : &m_configuration.services[found->second];
 }
 
-const service_id *chooseService(const route &chosen, std::uint64_t draw)
+const service_id *chooseService(const route &chosen, std::uint64_t randomValue)
 {
     std::uint64_t total = 0;
     for (const auto &entry : chosen.services) {
@@ -81,7 +81,7 @@
     if (total == 0) {
         return nullptr;
     }
-    auto left = draw % total;
+    auto left = randomValue % total;
     for (const auto &entry : chosen.services) {
         const auto weight = static_cast<std::uint64_t>(std::max(0, entry.weight));
         if (left < weight) {
--- a/Libraries/Routing/route_table.h
+++ b/Libraries/Routing/route_table.h
@@ -10,28 +10,30 @@
 
 namespace vetchpost {
 
-/// A configuration with the indices that a request needs. Never changes once it is made.
+/// An immutable configuration with the indices for routing requests.
 class route_table
 {
 public:
     explicit route_table(served_configuration configuration);
 
     const served_configuration &configuration() const;
-    /// Of the host's routes the one with the longest prefix of the path; nullptr where none fits. The host's port is ignored.
+    /// Returns the host's route with the longest matching path prefix, or nullptr if none matches. The host's port is ignored.
     const route *findRoute(std::string_view host, std::string_view path) const;
-    /// The organisation that holds a key; nullptr where none does.
+    /// Returns the organisation that owns a key, or nullptr if none does.
     const served_organisation *findOrganisation(const std::string &key) const;
+    /// Returns the service with the id, or nullptr if there is none.
     const served_service *findService(const service_id &id) const;
 
 private:
     served_configuration m_configuration;
-    /// By host, the longest prefix first; positions in the configuration.
+    /// Indices of each host's routes in the configuration, the longest path prefix first.
     std::unordered_map<std::string, std::vector<std::size_t>> m_routes;
     std::unordered_map<std::string, std::size_t> m_keys;
     std::unordered_map<std::string, std::size_t> m_services;
 };
 
-/// The service that a request goes to: by weight, the same for the same \a draw (any number).
-const service_id *chooseService(const route &chosen, std::uint64_t draw);
+/// Chooses a service of the route with a probability proportional to its weight. Equal values of \a randomValue (any number) give the same
+/// service. Returns nullptr if no weight is positive.
+const service_id *chooseService(const route &chosen, std::uint64_t randomValue);
 
 } // namespace vetchpost
--- a/Libraries/Routing/served_configuration.h
+++ b/Libraries/Routing/served_configuration.h
@@ -10,18 +10,18 @@
 #include <string>
 #include <vector>
 
-/// What an entry daemon routes by: routes, services, models and organisations, as an operator wrote them.
+/// The configuration by which an entry daemon routes: routes, services, models and organisations, as an operator wrote them.
 namespace vetchpost {
 
 using service_id = identifier<struct service_tag>;
 using model_id = identifier<struct model_tag>;
 
 enum class route_kind {
-    /// A series of events. Runs at most once unless it may be resumed.
+    /// The answer is a stream of events. A request runs at most once unless the route is resumable.
     streaming,
-    /// May run more than once.
+    /// A request may run more than once.
     idempotent,
-    /// Runs at most once for each attempt of the client.
+    /// A request runs at most once for each attempt of the client.
     non_idempotent
 };
 
@@ -38,23 +38,23 @@
     /// Begins and ends with a slash.
     std::string pathPrefix;
     route_kind kind = route_kind::non_idempotent;
-    /// The longest that a request is held.
+    /// The longest time for which a request is held.
     duration timeout{};
-    /// The time within which an answer, or a stream's first event, has its full value.
+    /// Latency objective for an answer or for a stream's first event.
     duration objective{};
-    /// The longest pause between two events that keeps a stream in time; zero where none is given.
+    /// Latency objective for the pause between two events of a stream; zero if none is given.
     duration pauseLimit{};
     /// 0 is the most urgent.
     int priority = 0;
     /// The largest number of replicas that one attempt of a client may be sent to.
     int maximumAttempts = 1;
-    /// Needs no key.
+    /// Whether requests need no API key.
     bool isPublic = false;
-    /// Another replica may go on with a stream after the last event that was received.
+    /// Whether another replica may continue a stream after the last event that was received.
     bool isResumable = false;
     std::vector<weighted_service> services;
 
-    /// Whether a request of this route may run on a second replica after it may have run on the first.
+    /// Whether a request of this route may run on a second replica although the first one may have run it.
     bool mayRunAgain() const
     {
         return kind == route_kind::idempotent || (kind == route_kind::streaming && isResumable);
@@ -67,29 +67,29 @@
     model_id id;
     /// Replicas in one group.
     int size = 1;
-    /// Its part of the service's work when the service starts, from 0 to 1.
+    /// Its fraction of the service's work when the service starts, from 0 to 1.
     double share = 0;
     /// Factor on all times of a group of this model.
     double pace = 1;
-    /// How long a member takes to load the weights from the weight store ...
+    /// How long a member takes to load the weights from the weight store.
     duration loadTime{};
-    /// ... and from its own host, where they are staged.
+    /// How long a member takes to load weights that are staged on its host.
     duration stagedLoadTime{};
 };
 
-/// How the model engines of a service work.
+/// Properties of a service's model engines.
 struct engine_description
 {
-    /// Requests that a group runs at once.
+    /// Number of requests that a group can run concurrently.
     int slots = 0;
     std::vector<group_model> models;
-    /// Loads from the weight store that may begin each second.
+    /// Number of loads from the weight store that may begin each second.
     double loadsPerSecond = 0;
-    /// Loads beyond which each takes proportionally longer.
+    /// Number of concurrent loads above which each takes proportionally longer.
     int concurrentLoads = 1;
-    /// Models that a host keeps staged.
+    /// Number of models that a host keeps staged.
     int stagedPerHost = 1;
-    /// Between the order to open a group and its serving.
+    /// Time from the order to open a group until it serves.
     duration formTime{};
 };
 
@@ -97,9 +97,9 @@
 {
     service_id id;
     std::string healthPath;
-    /// Connections that one replica accepts from all daemons together.
+    /// Number of connections that one replica accepts from all daemons together.
     int maximumConnections = 0;
-    /// Only where the service runs models in groups.
+    /// Set only if the service runs models in groups.
     std::optional<engine_description> engine;
 };
 
@@ -116,7 +116,7 @@
 {
     organisation_id id;
     std::vector<std::string> keys;
-    /// Takes the place of the route's priority; nothing where the organisation has none.
+    /// Replaces the route's priority, if set.
     std::optional<int> priority;
 };
 
@@ -126,7 +126,7 @@
     std::vector<route> routes;
     std::vector<served_service> services;
     client_limits limits;
-    /// Nothing where requests carry no keys.
+    /// Nothing if requests need no API keys.
     std::optional<std::vector<served_organisation>> organisations;
 };
 
--- a/Tests/Assembly/assemblyWorld.cpp
+++ b/Tests/Assembly/assemblySimulation.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Tests/Assembly/assemblyWorld.h"
+#include "Tests/Assembly/assemblySimulation.h"
 
 #include "Libraries/Base/digest.h"
 
@@ -18,18 +18,18 @@
 constexpr duration directoryLag(100);
 constexpr duration orderTimeout(400);
 constexpr duration reportLag(200);
-/// Longer than any order may come late, so that a healed world holds no surprises.
-constexpr duration latestOrder(12000);
+/// Longer than the longest delay of an order, so that none arrives after heal().
+constexpr duration maxOrderDelay(12000);
 constexpr double loadsPerSecond = 4;
 constexpr std::size_t loadsAllowed = 25;
 constexpr duration loadWindow(5000);
-/// A replica's entry goes after three heartbeats; the daemons whose requests stand still find it silent much sooner.
+/// A replica's entry lapses after three missed heartbeats; daemons whose requests stall find it silent much sooner.
 constexpr duration lapseTime(3600);
-constexpr duration suspicionTime(600);
+constexpr duration detectionTime(600);
 
 } // namespace
 
-assembly_world::assembly_world(int domains, int perDomain, std::uint64_t seed)
+assembly_simulation::assembly_simulation(int domains, int perDomain, std::uint64_t seed)
     : m_randomState(seed)
 {
     m_engine.slots = 26;
@@ -47,57 +47,58 @@
     m_state.term = m_term;
 }
 
-void assembly_world::addReplica(int domain, const std::vector<model_id> &staged)
+void assembly_simulation::addReplica(int domain, const std::vector<model_id> &staged)
 {
     fake_replica replica;
-    replica.said.id = instance_id(fmt::format("r{:03}", ++m_replicasMade));
-    replica.said.service = m_service;
-    replica.said.address = {"127.0.0.1", static_cast<std::uint16_t>(m_replicasMade)};
-    replica.said.domain = fabric_domain_id(fmt::format("rack{}", domain));
-    replica.said.staged = staged;
-    m_replicas.emplace(replica.said.id, replica);
+    replica.reportedState.id = instance_id(fmt::format("r{:03}", ++m_replicaCount));
+    replica.reportedState.service = m_service;
+    replica.reportedState.address = {"127.0.0.1", static_cast<std::uint16_t>(m_replicaCount)};
+    replica.reportedState.domain = fabric_domain_id(fmt::format("rack{}", domain));
+    replica.reportedState.staged = staged;
+    m_replicas.emplace(replica.reportedState.id, replica);
 }
 
-std::uint64_t assembly_world::random()
+std::uint64_t assembly_simulation::random()
 {
     return m_randomState = hashOf(fmt::format("{}", m_randomState));
 }
 
-duration assembly_world::randomDelay(duration most)
+duration assembly_simulation::randomDelay(duration limit)
 {
-    return duration(static_cast<std::int64_t>(random() % static_cast<std::uint64_t>(most.count() + 1)));
+    return duration(static_cast<std::int64_t>(random() % static_cast<std::uint64_t>(limit.count() + 1)));
 }
 
-void assembly_world::breakRule(const std::string &what)
+void assembly_simulation::recordViolation(const std::string &what)
 {
     if (m_violation.empty()) {
         m_violation = what;
     }
 }
 
-fake_replica *assembly_world::find(const instance_id &id)
+fake_replica *assembly_simulation::find(const instance_id &id)
 {
     const auto found = m_replicas.find(id);
     return found == m_replicas.end() || !found->second.isAlive ? nullptr : &found->second;
 }
 
-fake_replica *assembly_world::headOf(const fake_replica &replica)
+fake_replica *assembly_simulation::headOf(const fake_replica &replica)
 {
-    if (!replica.said.membership || replica.members.empty()) {
+    if (!replica.reportedState.membership || replica.members.empty()) {
         return nullptr;
     }
     auto *head = find(replica.members.front());
-    const bool isSame = head != nullptr && head->said.membership && head->said.membership->group == replica.said.membership->group
-        && head->said.membership->formed == replica.said.membership->formed;
+    const bool isSame = head != nullptr && head->reportedState.membership
+        && head->reportedState.membership->group == replica.reportedState.membership->group
+        && head->reportedState.membership->formed == replica.reportedState.membership->formed;
     return isSame ? head : nullptr;
 }
 
-const group_model &assembly_world::model(const model_id &id) const
+const group_model &assembly_simulation::model(const model_id &id) const
 {
     return *std::find_if(m_engine.models.begin(), m_engine.models.end(), [&](const group_model &entry) { return entry.id == id; });
 }
 
-void assembly_world::apply(const assembly_step &step)
+void assembly_simulation::apply(const assembly_step &step)
 {
     auto chosen = m_replicas.begin();
     std::advance(chosen, step.subject % static_cast<int>(m_replicas.size()));
@@ -105,18 +106,18 @@
     switch (step.kind) {
     case 0:
     case 1:
-        lose(replica.said.id);
+        lose(replica.reportedState.id);
         break;
     case 2:
-        replica.said.isDraining = true;
+        replica.reportedState.isDraining = true;
         break;
     case 3: {
-        // A whole domain goes dark and comes back as new lives with the same hosts.
-        const auto domain = replica.said.domain;
+        // A whole domain ends and comes back as new replicas on the same hosts.
+        const auto domain = replica.reportedState.domain;
         std::vector<std::vector<model_id>> hosts;
         for (auto &[id, other] : m_replicas) {
-            if (other.isAlive && other.said.domain == domain) {
-                hosts.push_back(other.said.staged);
+            if (other.isAlive && other.reportedState.domain == domain) {
+                hosts.push_back(other.reportedState.staged);
                 other.isAlive = false;
             }
         }
@@ -140,7 +141,7 @@
         takeOver();
         break;
     case 10:
-        restart(replica.said.id);
+        restart(replica.reportedState.id);
         break;
     default:
         break;
@@ -148,113 +149,113 @@
     advance(duration(step.amount % 4000));
 }
 
-void assembly_world::lose(const instance_id &replica)
+void assembly_simulation::lose(const instance_id &replica)
 {
     m_replicas.at(replica).isAlive = false;
-    m_died.try_emplace(replica, m_now);
+    m_deadSince.try_emplace(replica, m_now);
 }
 
-void assembly_world::restart(const instance_id &replica)
+void assembly_simulation::restart(const instance_id &replica)
 {
     const auto &before = m_replicas.at(replica);
     if (!before.isAlive) {
         return;
     }
     fake_replica next;
-    next.said = before.said;
+    next.reportedState = before.reportedState;
     next.highestEver = before.highestEver;
-    next.said.life = before.said.life.next();
-    next.said.isDraining = false;
-    next.said.model.reset();
-    next.said.membership.reset();
+    next.reportedState.life = before.reportedState.life.next();
+    next.reportedState.isDraining = false;
+    next.reportedState.model.reset();
+    next.reportedState.membership.reset();
     m_replicas[replica] = std::move(next);
 }
 
-void assembly_world::detectDeaths()
+void assembly_simulation::detectDeaths()
 {
     m_detectsDeaths = true;
 }
 
-void assembly_world::lookAtAllFor(duration time)
+void assembly_simulation::probeAllFor(duration time)
 {
-    m_looksUntil = m_now + time;
+    m_probesUntil = m_now + time;
 }
 
-void assembly_world::slowOwnLinkFor(duration time)
+void assembly_simulation::slowOwnLinkFor(duration time)
 {
     m_linkSlowUntil = m_now + time;
 }
 
-std::size_t assembly_world::suspectedReplicas() const
+std::size_t assembly_simulation::suspectedReplicas() const
 {
     return m_silent.suspected.size();
 }
 
-void assembly_world::drain(const instance_id &replica)
+void assembly_simulation::drain(const instance_id &replica)
 {
-    m_replicas.at(replica).said.isDraining = true;
+    m_replicas.at(replica).reportedState.isDraining = true;
 }
 
-void assembly_world::loseDomain(int domain, duration time)
+void assembly_simulation::loseDomain(int domain, duration time)
 {
     const fabric_domain_id name(fmt::format("rack{}", domain));
     for (auto &[id, replica] : m_replicas) {
-        if (replica.isAlive && replica.said.domain == name) {
+        if (replica.isAlive && replica.reportedState.domain == name) {
             lose(id);
-            m_darkHosts.push_back({domain, replica.said.staged, m_now + time});
+            m_darkHosts.push_back({domain, replica.reportedState.staged, m_now + time});
         }
     }
 }
 
-void assembly_world::addEmpty(int domain)
+void assembly_simulation::addEmpty(int domain)
 {
     addReplica(domain, {});
 }
 
-void assembly_world::beginTraffic()
+void assembly_simulation::beginTraffic()
 {
     m_hasTraffic = true;
 }
 
-void assembly_world::beginTrafficElsewhere(duration heardAfter)
+void assembly_simulation::beginTrafficOnOtherDaemon(duration reportDelay)
 {
     m_hasTraffic = true;
-    m_hearsTrafficAt = m_now + heardAfter;
+    m_learnsOfTrafficAt = m_now + reportDelay;
 }
 
-void assembly_world::sendSlowly(int ordersPerTick)
+void assembly_simulation::limitSendRate(int ordersPerTick)
 {
     m_ordersPerTick = ordersPerTick;
 }
 
-void assembly_world::setLoadRate(double loadsPerSecond)
+void assembly_simulation::setLoadRate(double loadsPerSecond)
 {
     m_engine.loadsPerSecond = loadsPerSecond;
 }
 
-bool assembly_world::isTrafficKnown() const
+bool assembly_simulation::isTrafficKnown() const
 {
-    return m_hasTraffic && m_now >= m_hearsTrafficAt;
+    return m_hasTraffic && m_now >= m_learnsOfTrafficAt;
 }
 
-void assembly_world::takeOver()
+void assembly_simulation::takeOver()
 {
     m_state = assembly_state();
     m_state.term = ++m_term;
     m_answers.clear();
     m_waiting.clear();
-    // A lease ends, and the successor lists the replicas anew before it plans.
-    m_plansFrom = m_now + duration(500) + randomDelay(duration(2000));
+    // The lease expires, and the successor lists the replicas before it plans.
+    m_planningStartsAt = m_now + duration(500) + randomDelay(duration(2000));
 }
 
-void assembly_world::heal(duration time)
+void assembly_simulation::heal(duration time)
 {
     m_answersLostUntil = m_now;
     m_ordersLateUntil = m_now;
     for (auto replica = m_replicas.begin(); replica != m_replicas.end();) {
-        replica = replica->second.said.isDraining || !replica->second.isAlive ? m_replicas.erase(replica) : std::next(replica);
+        replica = replica->second.reportedState.isDraining || !replica->second.isAlive ? m_replicas.erase(replica) : std::next(replica);
     }
-    advance(latestOrder);
+    advance(maxOrderDelay);
     const auto end = m_now + time;
     const auto isWhole = [&] {
         return std::all_of(m_engine.models.begin(), m_engine.models.end(), [&](const group_model &entry) {
@@ -266,7 +267,7 @@
     }
 }
 
-void assembly_world::advance(duration time)
+void assembly_simulation::advance(duration time)
 {
     const auto end = m_now + time;
     while (m_now < end && m_violation.empty()) {
@@ -274,7 +275,7 @@
     }
 }
 
-void assembly_world::tick()
+void assembly_simulation::tick()
 {
     m_now += tickTime;
     for (const auto &host : m_darkHosts) {
@@ -286,20 +287,20 @@
     deliver();
     for (auto &[id, replica] : m_replicas) {
         if (replica.isAlive) {
-            settle(replica);
+            completeTransitions(replica);
         }
     }
     replica_directory present;
     for (auto &[id, replica] : m_replicas) {
         if (replica.isAlive) {
-            checkHead(replica);
-            present.replicas.emplace(id, replica.said);
+            updateStall(replica);
+            present.replicas.emplace(id, replica.reportedState);
         }
     }
-    std::erase_if(m_died, [&](const auto &entry) { return m_now - entry.second > lapseTime + 2 * directoryLag; });
-    for (const auto &[id, when] : m_died) {
+    std::erase_if(m_deadSince, [&](const auto &entry) { return m_now - entry.second > lapseTime + 2 * directoryLag; });
+    for (const auto &[id, when] : m_deadSince) {
         if (m_detectsDeaths && m_now - when <= lapseTime) {
-            present.replicas.emplace(id, m_replicas.at(id).said);
+            present.replicas.emplace(id, m_replicas.at(id).reportedState);
         }
     }
     m_history.emplace_back(m_now, std::move(present));
@@ -307,7 +308,7 @@
         m_directory = std::move(m_history.front().second);
         m_history.pop_front();
     }
-    if (m_now >= m_plansFrom) {
+    if (m_now >= m_planningStartsAt) {
         plan();
     }
     sendDue();
@@ -318,44 +319,44 @@
     }
 }
 
-bool assembly_world::isAnswering(const served_replica &replica) const
+bool assembly_simulation::isAnswering(const served_replica &replica) const
 {
     const auto found = m_replicas.find(replica.id);
     return m_now >= m_linkSlowUntil && found != m_replicas.end() && found->second.isAlive;
 }
 
-/// All looks of one tick begin together; what they find is known at once.
-void assembly_world::look()
+/// All probes of one tick begin together, and their results are known at once.
+void assembly_simulation::probeAll()
 {
     for (const auto &[id, replica] : m_directory.replicas) {
         if (isAnswering(replica)) {
-            noteLook(m_silent, id, {m_now, true, replica.life});
+            recordProbe(m_silent, id, {m_now, true, replica.life});
             continue;
         }
-        if (!wasSoundSince(m_trouble, m_now)) {
+        if (!hasPassedSince(m_selfCheck, m_now)) {
             std::set<instance_id> suspected;
             for (const auto &[other, entry] : m_silent.suspected) {
                 suspected.insert(other);
             }
-            const auto references = referencesFor(m_directory, replica, suspected, random());
+            const auto references = chooseReferenceReplicas(m_directory, replica, suspected, random());
             const auto answered = std::count_if(
                 references.begin(), references.end(), [&](const served_replica &reference) { return isAnswering(reference); });
-            noteCheck(m_trouble, m_now, static_cast<std::size_t>(answered) >= answersNeeded(references.size()));
+            recordSelfCheck(m_selfCheck, m_now, static_cast<std::size_t>(answered) >= requiredAnswers(references.size()));
         }
-        if (wasSoundSince(m_trouble, m_now)) {
-            noteLook(m_silent, id, {m_now, false, replica.life});
+        if (hasPassedSince(m_selfCheck, m_now)) {
+            recordProbe(m_silent, id, {m_now, false, replica.life});
         }
     }
 }
 
-void assembly_world::plan()
+void assembly_simulation::plan()
 {
-    if (m_now < m_looksUntil) {
-        look();
+    if (m_now < m_probesUntil) {
+        probeAll();
     }
-    std::set<instance_id> suspects = reportSilence(m_silent, m_directory, m_now).suspects;
-    for (const auto &[id, when] : m_died) {
-        if (m_detectsDeaths && m_now - when >= suspicionTime) {
+    std::set<instance_id> suspects = updateSuspicions(m_silent, m_directory, m_now).suspects;
+    for (const auto &[id, when] : m_deadSince) {
+        if (m_detectsDeaths && m_now - when >= detectionTime) {
             suspects.insert(id);
         }
     }
@@ -366,7 +367,7 @@
     m_state.decisions.clear();
 }
 
-void assembly_world::sendDue()
+void assembly_simulation::sendDue()
 {
     for (int sent = 0; !m_waiting.empty() && sent < m_ordersPerTick.value_or(INT_MAX); ++sent) {
         const auto order = std::move(m_waiting.front());
@@ -375,7 +376,7 @@
     }
 }
 
-void assembly_world::send(const replica_order &order)
+void assembly_simulation::send(const replica_order &order)
 {
     if (!isStillDue(order, !isTrafficKnown())) {
         m_answers.push_back({order, {order_result::withheld, 0}, m_now, m_term});
@@ -384,27 +385,27 @@
     const bool isLate = m_now < m_ordersLateUntil && random() % 2 == 0;
     const bool isLost = isLate || (m_now < m_answersLostUntil && random() % 2 == 0);
     const auto delay = isLate ? duration(2000) + randomDelay(duration(10000)) : randomDelay(duration(20));
-    travelling_order travelling{order, m_now + delay, std::nullopt, m_term};
+    order_in_transit inTransit{order, m_now + delay, std::nullopt, m_term};
     if (!isLost) {
-        travelling.answered = m_now + delay + randomDelay(duration(20));
+        inTransit.answered = m_now + delay + randomDelay(duration(20));
     } else {
         m_answers.push_back({order, {order_result::unknown, 0}, m_now + orderTimeout, m_term});
     }
-    m_orders.push_back(std::move(travelling));
+    m_orders.push_back(std::move(inTransit));
 }
 
-void assembly_world::deliver()
+void assembly_simulation::deliver()
 {
     auto orders = std::exchange(m_orders, {});
-    for (auto &travelling : orders) {
-        if (travelling.arrives > m_now) {
-            m_orders.push_back(std::move(travelling));
+    for (auto &inTransit : orders) {
+        if (inTransit.arrives > m_now) {
+            m_orders.push_back(std::move(inTransit));
             continue;
         }
-        auto *replica = find(travelling.order.to);
-        const auto result = replica == nullptr ? order_answer{order_result::gone, 0} : take(*replica, travelling.order);
-        if (travelling.answered) {
-            m_answers.push_back({travelling.order, result, *travelling.answered, travelling.term});
+        auto *replica = find(inTransit.order.to);
+        const auto result = replica == nullptr ? order_answer{order_result::gone, 0} : receive(*replica, inTransit.order);
+        if (inTransit.answered) {
+            m_answers.push_back({inTransit.order, result, *inTransit.answered, inTransit.term});
         }
     }
     auto answers = std::exchange(m_answers, {});
@@ -412,59 +413,59 @@
         if (answer.arrives > m_now) {
             m_answers.push_back(std::move(answer));
         } else if (answer.term == m_term) {
-            noteOrderResult(m_state, answer.order, answer.answer, m_now);
+            recordOrderResult(m_state, answer.order, answer.answer, m_now);
         }
     }
 }
 
-/// Counts the orders that began something, and reports the number late.
-order_answer assembly_world::take(fake_replica &replica, const replica_order &order)
+/// Executes an order and counts it if it changed something; a probe returns that number with a delay.
+order_answer assembly_simulation::receive(fake_replica &replica, const replica_order &order)
 {
-    if (order.kind == order_kind::look) {
+    if (order.kind == order_kind::probe) {
         std::uint64_t reported = 0;
-        for (const auto &[when, count] : replica.reported) {
+        for (const auto &[when, count] : replica.reportedCounts) {
             reported = when + reportLag <= m_now ? count : reported;
         }
-        return {order_result::taken, reported, replica.said.life};
+        return {order_result::accepted, reported, replica.reportedState.life};
     }
-    const auto result = obey(replica, order);
-    if (result == order_result::taken) {
-        replica.reported.emplace_back(m_now, ++replica.ordersTaken);
+    const auto result = execute(replica, order);
+    if (result == order_result::accepted) {
+        replica.reportedCounts.emplace_back(m_now, ++replica.acceptedOrders);
     }
     return {result, 0};
 }
 
-order_result assembly_world::obey(fake_replica &replica, const replica_order &order)
+order_result assembly_simulation::execute(fake_replica &replica, const replica_order &order)
 {
-    auto &membership = replica.said.membership;
+    auto &membership = replica.reportedState.membership;
     const bool isHere = membership && membership->group == order.group && membership->formed == order.formed;
     switch (order.kind) {
     case order_kind::join:
         return join(replica, order);
     case order_kind::open:
         if (isHere && (membership->state == member_state::open || replica.opensAt)) {
-            return order_result::held;
+            return order_result::already_in_effect;
         }
         if (!isHere || membership->rank != 0 || membership->state != member_state::ready || replica.closedAt) {
             return order_result::conflict;
         }
         replica.opensAt = m_now + m_engine.formTime;
-        return order_result::taken;
+        return order_result::accepted;
     case order_kind::close:
         if (!isHere) {
             return order_result::conflict;
         }
         if (!replica.opensAt && membership->state != member_state::open) {
-            return order_result::held;
+            return order_result::already_in_effect;
         }
         replica.opensAt.reset();
         if (membership->state == member_state::open) {
             membership->state = member_state::closing;
-            // The requests at hand take up to a second, if they may finish and nothing stands still.
-            const bool mayFinish = order.method == close_method::finish && !replica.standsStillSince;
+            // The held requests take up to a second, if they may finish and the group is not stalled.
+            const bool mayFinish = order.method == close_method::finish && !replica.stalledSince;
             replica.closedAt = m_now + (mayFinish ? randomDelay(duration(1000)) : duration());
         }
-        return order_result::taken;
+        return order_result::accepted;
     case order_kind::leave:
         if (!isHere) {
             return order_result::conflict;
@@ -473,104 +474,105 @@
         replica.members.clear();
         replica.opensAt.reset();
         replica.closedAt.reset();
-        return order_result::taken;
+        return order_result::accepted;
     case order_kind::stage:
         replica.staging = order.model;
         replica.stagedAt = m_now + model(order.model).loadTime / (m_hasTraffic ? 1 : 10);
-        noteLoad();
-        return order_result::taken;
-    case order_kind::look:
+        recordLoad();
+        return order_result::accepted;
+    case order_kind::probe:
         break;
     }
     return order_result::refused;
 }
 
-order_result assembly_world::join(fake_replica &replica, const replica_order &order)
+order_result assembly_simulation::join(fake_replica &replica, const replica_order &order)
 {
-    auto &membership = replica.said.membership;
+    auto &membership = replica.reportedState.membership;
     const bool isSame = membership && membership->group == order.group && membership->formed == order.formed;
     if (isSame) {
-        return replica.members == order.members ? order_result::held : order_result::refused;
+        return replica.members == order.members ? order_result::already_in_effect : order_result::refused;
     }
-    if (order.expectedOrders != replica.ordersTaken) {
+    if (order.expectedOrders != replica.acceptedOrders) {
         return order_result::conflict;
     }
     if (order.formed < replica.highest) {
         return order_result::refused;
     }
     if (const auto *head = headOf(replica)) {
-        const auto state = head->said.membership->state;
-        const bool isStandingStill = head->standsStillSince && state != member_state::broken;
-        if (state == member_state::open || state == member_state::closing || isStandingStill) {
-            breakRule(fmt::format("{} takes a join of {} while {} still holds {}",
-                                  replica.said.id.value(),
-                                  order.group.value(),
-                                  head->said.id.value(),
-                                  membership->group.value()));
+        const auto state = head->reportedState.membership->state;
+        const bool isStalled = head->stalledSince && state != member_state::broken;
+        if (state == member_state::open || state == member_state::closing || isStalled) {
+            recordViolation(fmt::format("{} takes a join of {} while {} still holds {}",
+                                        replica.reportedState.id.value(),
+                                        order.group.value(),
+                                        head->reportedState.id.value(),
+                                        membership->group.value()));
         }
     }
     const auto &wanted = model(order.model);
-    const bool isStaged = std::find(replica.said.staged.begin(), replica.said.staged.end(), order.model) != replica.said.staged.end();
+    const bool isStaged = std::find(replica.reportedState.staged.begin(), replica.reportedState.staged.end(), order.model)
+        != replica.reportedState.staged.end();
     auto time = sameModelTime;
-    if (replica.ran != order.model) {
+    if (replica.runModel != order.model) {
         time = isStaged ? wanted.stagedLoadTime : wanted.loadTime / (m_hasTraffic ? 1 : 10);
         if (!isStaged) {
-            noteLoad();
-            replica.said.staged = {order.model};
+            recordLoad();
+            replica.reportedState.staged = {order.model};
         }
     }
-    const auto rank = std::find(order.members.begin(), order.members.end(), replica.said.id) - order.members.begin();
+    const auto rank = std::find(order.members.begin(), order.members.end(), replica.reportedState.id) - order.members.begin();
     membership = {order.group, order.formed, static_cast<int>(rank), member_state::joining};
     replica.highest = order.formed;
     replica.highestEver = std::max(replica.highestEver, order.formed);
     replica.members = order.members;
-    replica.ran = order.model;
-    replica.said.model = order.model;
+    replica.runModel = order.model;
+    replica.reportedState.model = order.model;
     replica.readyAt = m_now + time;
     replica.opensAt.reset();
     replica.closedAt.reset();
-    replica.standsStillSince.reset();
-    return order_result::taken;
+    replica.stalledSince.reset();
+    return order_result::accepted;
 }
 
-void assembly_world::settle(fake_replica &replica)
+void assembly_simulation::completeTransitions(fake_replica &replica)
 {
     if (replica.stagedAt && *replica.stagedAt <= m_now) {
-        replica.said.staged = {replica.staging};
+        replica.reportedState.staged = {replica.staging};
         replica.stagedAt.reset();
     }
-    if (!replica.said.membership) {
+    if (!replica.reportedState.membership) {
         return;
     }
-    auto &state = replica.said.membership->state;
+    auto &state = replica.reportedState.membership->state;
     if (state == member_state::joining && replica.readyAt && *replica.readyAt <= m_now) {
         state = member_state::ready;
     }
     if (state == member_state::ready && replica.opensAt && *replica.opensAt <= m_now) {
         state = member_state::open;
         replica.opensAt.reset();
-        const auto &wanted = model(*replica.said.model);
+        const auto &wanted = model(*replica.reportedState.model);
         bool isWhole = static_cast<int>(replica.members.size()) == wanted.size;
         for (const auto &member : replica.members) {
-            // A member that was ready and is lost meanwhile excuses what follows; one that never was does not.
+            // A member that was ready and was lost since then is no violation; one that never joined is.
             const auto *other = find(member);
             isWhole = isWhole && (other == nullptr || other == &replica || other->highestEver >= replica.highest);
         }
         if (!isWhole) {
-            breakRule("a head opened without its members: " + replica.said.id.value());
+            recordViolation("a head opened without its members: " + replica.reportedState.id.value());
         }
     }
     if (state == member_state::closing && replica.closedAt && *replica.closedAt <= m_now) {
         state = member_state::ready;
         replica.closedAt.reset();
-        replica.standsStillSince.reset();
+        replica.stalledSince.reset();
     }
 }
 
-/// A head stands still once a member is lost or elsewhere, and gives up after the stall time.
-void assembly_world::checkHead(fake_replica &head)
+/// A head stalls once a member is lost or in another formation, and gives up after the stall time.
+void assembly_simulation::updateStall(fake_replica &head)
 {
-    auto &membership = head.said.membership;
+    auto &membership = head.reportedState.membership;
     const bool isHolding
         = membership && membership->rank == 0 && (membership->state == member_state::open || membership->state == member_state::closing);
     if (!isHolding) {
@@ -578,18 +580,19 @@
     }
     for (const auto &member : head.members) {
         const auto *other = find(member);
-        const bool isThere = other != nullptr && other->said.membership && other->said.membership->formed == membership->formed;
-        if (!isThere && !head.standsStillSince) {
-            head.standsStillSince = m_now;
+        const bool isThere
+            = other != nullptr && other->reportedState.membership && other->reportedState.membership->formed == membership->formed;
+        if (!isThere && !head.stalledSince) {
+            head.stalledSince = m_now;
         }
     }
-    if (head.standsStillSince && m_now - *head.standsStillSince >= stallTime) {
+    if (head.stalledSince && m_now - *head.stalledSince >= stallTime) {
         membership->state = member_state::broken;
-        head.standsStillSince.reset();
+        head.stalledSince.reset();
     }
 }
 
-void assembly_world::noteLoad()
+void assembly_simulation::recordLoad()
 {
     ++m_loadsBegun;
     if (!m_hasTraffic) {
@@ -600,131 +603,131 @@
         m_loads.pop_front();
     }
     if (m_loads.size() > loadsAllowed) {
-        breakRule("more loads began than the weight store allows");
+        recordViolation("more loads began than the weight store allows");
     }
 }
 
-const std::string &assembly_world::violation() const
+const std::string &assembly_simulation::violation() const
 {
     return m_violation;
 }
 
-int assembly_world::servingGroups(const model_id &wanted) const
+int assembly_simulation::servingGroups(const model_id &wanted) const
 {
     int count = 0;
     replica_directory present;
     for (const auto &[id, replica] : m_replicas) {
         if (replica.isAlive) {
-            present.replicas.emplace(id, replica.said);
+            present.replicas.emplace(id, replica.reportedState);
         }
     }
     for (const auto &group : groupsOf(present, m_service)) {
-        count += group.model == wanted && takesRequests(group, model(wanted).size) ? 1 : 0;
+        count += group.model == wanted && acceptsRequests(group, model(wanted).size) ? 1 : 0;
     }
     return count;
 }
 
-/// What fits into the domains as they are: the target, or less where the replicas of no domain suffice.
-int assembly_world::wantedGroups(const model_id &wanted) const
+/// The target number of groups for the replicas that are alive and not draining.
+int assembly_simulation::wantedGroups(const model_id &wanted) const
 {
     int usable = 0;
     for (const auto &[id, replica] : m_replicas) {
-        usable += replica.isAlive && !replica.said.isDraining ? 1 : 0;
+        usable += replica.isAlive && !replica.reportedState.isDraining ? 1 : 0;
     }
     return groupTargets(m_engine, demandShares({}, m_engine), usable, m_state.policy.spareShare).at(wanted);
 }
 
-std::vector<instance_id> assembly_world::membersOfSomeGroup(const model_id &wanted) const
+std::vector<instance_id> assembly_simulation::membersOfAnyGroup(const model_id &wanted) const
 {
     for (const auto &[id, replica] : m_replicas) {
-        const auto &membership = replica.said.membership;
-        if (replica.isAlive && replica.said.model == wanted && membership && membership->state == member_state::open) {
+        const auto &membership = replica.reportedState.membership;
+        if (replica.isAlive && replica.reportedState.model == wanted && membership && membership->state == member_state::open) {
             return replica.members;
         }
     }
     return {};
 }
 
-std::vector<instance_id> assembly_world::membersOfSomeGroup(const model_id &wanted, std::uint64_t draw) const
+std::vector<instance_id> assembly_simulation::membersOfAnyGroup(const model_id &wanted, std::uint64_t randomValue) const
 {
     const auto groups = openGroups(wanted);
-    return groups.empty() ? std::vector<instance_id>() : groups[draw % groups.size()];
+    return groups.empty() ? std::vector<instance_id>() : groups[randomValue % groups.size()];
 }
 
-std::vector<std::vector<instance_id>> assembly_world::openGroups(const model_id &wanted) const
+std::vector<std::vector<instance_id>> assembly_simulation::openGroups(const model_id &wanted) const
 {
     std::vector<std::vector<instance_id>> groups;
     for (const auto &[id, replica] : m_replicas) {
-        const auto &membership = replica.said.membership;
-        if (replica.isAlive && replica.said.model == wanted && membership && membership->state == member_state::open) {
+        const auto &membership = replica.reportedState.membership;
+        if (replica.isAlive && replica.reportedState.model == wanted && membership && membership->state == member_state::open) {
             groups.push_back(replica.members);
         }
     }
     return groups;
 }
 
-std::size_t assembly_world::groupSizeOf(const instance_id &replica) const
+std::size_t assembly_simulation::groupSizeOf(const instance_id &replica) const
 {
     return m_replicas.at(replica).members.size();
 }
 
-std::vector<instance_id> assembly_world::membersBesideSmallGroup() const
+std::vector<instance_id> assembly_simulation::membersBesideSmallGroup() const
 {
     std::set<fabric_domain_id> domainsOfSmall;
     const auto isOpen = [](const fake_replica &replica) {
-        return replica.isAlive && replica.said.membership && replica.said.membership->state == member_state::open;
+        return replica.isAlive && replica.reportedState.membership && replica.reportedState.membership->state == member_state::open;
     };
     for (const auto &[id, replica] : m_replicas) {
         if (isOpen(replica) && replica.members.size() == 2) {
-            domainsOfSmall.insert(replica.said.domain);
+            domainsOfSmall.insert(replica.reportedState.domain);
         }
     }
     for (const auto &[id, replica] : m_replicas) {
-        if (isOpen(replica) && replica.members.size() == 4 && domainsOfSmall.contains(replica.said.domain)) {
+        if (isOpen(replica) && replica.members.size() == 4 && domainsOfSmall.contains(replica.reportedState.domain)) {
             return replica.members;
         }
     }
     return {};
 }
 
-const engine_description &assembly_world::engine() const
+const engine_description &assembly_simulation::engine() const
 {
     return m_engine;
 }
 
-int assembly_world::loadsBegun() const
+int assembly_simulation::loadsBegun() const
 {
     return m_loadsBegun;
 }
 
-duration assembly_world::downtime(const model_id &wanted) const
+duration assembly_simulation::downtime(const model_id &wanted) const
 {
     const auto found = m_downtime.find(wanted);
     return found == m_downtime.end() ? duration() : found->second;
 }
 
-std::string assembly_world::summary() const
+std::string assembly_simulation::summary() const
 {
     std::map<fabric_domain_id, std::pair<std::string, std::string>> domains;
     for (const auto &[id, replica] : m_replicas) {
-        auto &[groups, others] = domains[replica.said.domain];
+        auto &[groups, others] = domains[replica.reportedState.domain];
         if (!replica.isAlive) {
             continue;
         }
         const auto head = replica.members.empty() ? m_replicas.end() : m_replicas.find(replica.members.front());
-        const bool isServing = head != m_replicas.end() && head->second.isAlive && head->second.said.membership && replica.said.membership
-            && head->second.said.membership->formed == replica.said.membership->formed
-            && head->second.said.membership->state == member_state::open && !head->second.standsStillSince;
+        const bool isServing = head != m_replicas.end() && head->second.isAlive && head->second.reportedState.membership
+            && replica.reportedState.membership && head->second.reportedState.membership->formed == replica.reportedState.membership->formed
+            && head->second.reportedState.membership->state == member_state::open && !head->second.stalledSince;
         if (isServing) {
             groups += head->first == id ? fmt::format("{}", replica.members.size()) : "";
             continue;
         }
-        // The model that it ran last, the one that its host holds, and the one that it loads.
-        others += replica.said.isDraining ? "~" : "";
-        others += replica.said.model ? replica.said.model->value().substr(0, 1) : ".";
-        others += replica.said.staged.empty() ? "." : replica.said.staged.front().value().substr(0, 1);
+        // The model that the replica ran last, the one that its host holds, and the one that it loads.
+        others += replica.reportedState.isDraining ? "~" : "";
+        others += replica.reportedState.model ? replica.reportedState.model->value().substr(0, 1) : ".";
+        others += replica.reportedState.staged.empty() ? "." : replica.reportedState.staged.front().value().substr(0, 1);
         others += replica.stagedAt ? replica.staging.value().substr(0, 1) + "!" : "";
-        others += replica.said.membership && replica.said.membership->state == member_state::joining ? "j" : "";
+        others += replica.reportedState.membership && replica.reportedState.membership->state == member_state::joining ? "j" : "";
         others += " ";
     }
     std::string line;
@@ -734,7 +737,7 @@
     return line;
 }
 
-std::string assembly_world::describe() const
+std::string assembly_simulation::describe() const
 {
     std::string text;
     for (const auto &entry : m_engine.models) {
@@ -749,26 +752,26 @@
         text += "\n";
     }
     for (const auto &[id, replica] : m_replicas) {
-        const auto &membership = replica.said.membership;
+        const auto &membership = replica.reportedState.membership;
         text += fmt::format("{} in {} alive {} draining {} group {} state {} staged {}\n",
                             id.value(),
-                            replica.said.domain.value(),
+                            replica.reportedState.domain.value(),
                             replica.isAlive,
-                            replica.said.isDraining,
+                            replica.reportedState.isDraining,
                             membership ? membership->group.value() : "-",
                             membership ? static_cast<int>(membership->state) : -1,
-                            replica.said.staged.empty() ? "-" : replica.said.staged.front().value());
+                            replica.reportedState.staged.empty() ? "-" : replica.reportedState.staged.front().value());
     }
     return text;
 }
 
-assembly_world assembledWorld()
+assembly_simulation assembledSimulation()
 {
-    assembly_world world(6, 8, 1);
-    world.heal(std::chrono::seconds(20));
-    world.advance(std::chrono::seconds(10));
-    world.beginTraffic();
-    return world;
+    assembly_simulation simulation(6, 8, 1);
+    simulation.heal(std::chrono::seconds(20));
+    simulation.advance(std::chrono::seconds(10));
+    simulation.beginTraffic();
+    return simulation;
 }
 
 } // namespace vetchpost::test
--- a/Tests/Assembly/testAssembly.cpp
+++ b/Tests/Assembly/testAssembly.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Tests/Assembly/assemblyWorld.h"
+#include "Tests/Assembly/assemblySimulation.h"
 #include "Tests/Fakes/fuzz.h"
 
 #include <algorithm>
@@ -20,188 +20,189 @@
 
 const model_id big("big");
 const model_id small("small");
-constexpr int kinds = 11;
+constexpr int kindCount = 11;
 constexpr int stepsPerCase = 40;
 constexpr int casesInCi = 60;
-/// After the last fault each model has a group again within this time, whatever its hosts hold.
-constexpr std::chrono::seconds timeToBeWhole(40);
+/// After the last fault each model has a group again within this time, whichever weights the hosts hold.
+constexpr std::chrono::seconds recoveryTime(40);
 
 rc::Gen<assembly_step> anyStep()
 {
-    return rc::gen::build<assembly_step>(rc::gen::set(&assembly_step::kind, rc::gen::inRange(0, kinds)),
+    return rc::gen::build<assembly_step>(rc::gen::set(&assembly_step::kind, rc::gen::inRange(0, kindCount)),
                                          rc::gen::set(&assembly_step::subject, rc::gen::inRange(0, 60)),
                                          rc::gen::set(&assembly_step::amount, rc::gen::inRange(0, 60000)));
 }
 
 } // namespace
 
-TEST_CASE("Groups are wanted in the proportion of the models' shares")
+TEST_CASE("The target numbers of groups follow the models' shares")
 {
-    const assembly_world world(6, 8, 1);
-    const auto configured = demandShares({}, world.engine());
-    const auto targets = groupTargets(world.engine(), configured, 48, 0);
+    const assembly_simulation simulation(6, 8, 1);
+    const auto configured = demandShares({}, simulation.engine());
+    const auto targets = groupTargets(simulation.engine(), configured, 48, 0);
     CHECK(targets.at(big) == 8);
     CHECK(targets.at(small) == 8);
-    const auto withSpares = groupTargets(world.engine(), configured, 48, 0.25);
+    const auto withSpares = groupTargets(simulation.engine(), configured, 48, 0.25);
     CHECK(withSpares.at(big) == 6);
     CHECK(withSpares.at(small) == 6);
-    CHECK(groupTargets(world.engine(), configured, 0, 0).at(big) == 0);
+    CHECK(groupTargets(simulation.engine(), configured, 0, 0).at(big) == 0);
 }
 
-TEST_CASE("Everything is assembled in the seconds before the first request")
+TEST_CASE("All groups serve within eight seconds before the first request")
 {
-    assembly_world world(6, 8, 1);
-    world.advance(std::chrono::seconds(8));
-    CHECK(world.violation().empty());
-    CHECK(world.servingGroups(big) == 8);
-    CHECK(world.servingGroups(small) == 8);
+    assembly_simulation simulation(6, 8, 1);
+    simulation.advance(std::chrono::seconds(8));
+    CHECK(simulation.violation().empty());
+    CHECK(simulation.servingGroups(big) == 8);
+    CHECK(simulation.servingGroups(small) == 8);
 }
 
 TEST_CASE("Before the first request all hosts load the other model at once")
 {
-    assembly_world world(6, 8, 1);
-    world.advance(std::chrono::seconds(8));
-    CHECK(world.violation().empty());
-    // A load for each replica's own group, and one of the other model.
-    CHECK(world.loadsBegun() == 2 * 6 * 8);
+    assembly_simulation simulation(6, 8, 1);
+    simulation.advance(std::chrono::seconds(8));
+    CHECK(simulation.violation().empty());
+    // One load for each replica's own group, and one of the other model's weights.
+    CHECK(simulation.loadsBegun() == 2 * 6 * 8);
 }
 
-// At hundreds of daemons the coordinator planned two loads for each of 3,000 replicas while they were free, more than it could send before
-// the first request came. What waited for its turn was sent nevertheless: the weight store counted several hundred loads a second.
+// With hundreds of daemons the coordinator plans two loads for each of 3,000 replicas while loads are free, more than it can send before
+// the first request. If queued orders are sent after it nevertheless, the weight store gets several hundred loads per second.
 TEST_CASE("Loads that were planned before the first request do not begin beyond the weight store's rate after it")
 {
     const auto startOfTraffic = GENERATE(1000, 2000, 4000, 6000);
     const auto heardAfter = GENERATE(0, 250);
     CAPTURE(startOfTraffic, heardAfter);
-    assembly_world world(40, 8, 1);
-    world.sendSlowly(3);
-    world.advance(duration(startOfTraffic));
-    const auto loads = world.loadsBegun();
-    world.beginTrafficElsewhere(duration(heardAfter));
-    world.advance(std::chrono::seconds(1));
-    CHECK(world.violation().empty());
-    // Not all is prepared yet: orders waited for their turn.
+    assembly_simulation simulation(40, 8, 1);
+    simulation.limitSendRate(3);
+    simulation.advance(duration(startOfTraffic));
+    const auto loads = simulation.loadsBegun();
+    simulation.beginTrafficOnOtherDaemon(duration(heardAfter));
+    simulation.advance(std::chrono::seconds(1));
+    CHECK(simulation.violation().empty());
+    // Some loads had not begun yet, since their orders were queued.
     CHECK(loads < 2 * 40 * 8);
-    world.advance(std::chrono::seconds(60));
-    CHECK(world.violation().empty());
+    simulation.advance(std::chrono::seconds(60));
+    CHECK(simulation.violation().empty());
 }
 
-TEST_CASE("Until the coordinator has heard of the first request its loads keep within the weight store's rate")
+TEST_CASE("Until the coordinator learns of the first request its loads keep within the weight store's rate")
 {
     const auto startOfTraffic = GENERATE(700, 1200, 1700, 2200, 2700);
     CAPTURE(startOfTraffic);
-    assembly_world world(20, 8, 1);
-    world.advance(duration(startOfTraffic));
-    world.beginTrafficElsewhere(duration(250));
-    world.advance(std::chrono::seconds(60));
-    CHECK(world.violation().empty());
+    assembly_simulation simulation(20, 8, 1);
+    simulation.advance(duration(startOfTraffic));
+    simulation.beginTrafficOnOtherDaemon(duration(250));
+    simulation.advance(std::chrono::seconds(60));
+    CHECK(simulation.violation().empty());
 }
 
-// At 3,000 replicas some two thousand hosts were prepared in the seconds before the first request. Their entries' changes were still on the
-// way to the daemons five seconds later, and those of leaving replicas behind them: requests reached replicas that had said they leave.
-TEST_CASE("Hosts are prepared before the first request no faster than all daemons can take in what changes")
+// If some two thousand of 3,000 hosts are prepared in the seconds before the first request, the changes of their entries take more than
+// five seconds to reach all daemons. Changes of leaving replicas queue behind them, so requests reach replicas that have reported that they
+// are leaving.
+TEST_CASE("Before the first request hosts are prepared no faster than all daemons can process the changes")
 {
     constexpr int hosts = 60 * 8;
-    constexpr duration notice(300);
-    assembly_world world(60, 8, 1);
-    world.setLoadRate(1000);
-    world.advance(duration(1500));
-    // Each group's own loads come first, at the store's rate.
-    REQUIRE(world.loadsBegun() >= hosts);
+    constexpr duration reportDelay(300);
+    assembly_simulation simulation(60, 8, 1);
+    simulation.setLoadRate(1000);
+    simulation.advance(duration(1500));
+    // The groups' own loads come first, within the store's rate.
+    REQUIRE(simulation.loadsBegun() >= hosts);
     for (int step = 0; step < 20; ++step) {
-        const auto before = world.loadsBegun();
-        world.advance(notice);
-        CHECK(world.loadsBegun() - before <= 2 * 48);
+        const auto before = simulation.loadsBegun();
+        simulation.advance(reportDelay);
+        CHECK(simulation.loadsBegun() - before <= 2 * 48);
     }
-    CHECK(world.loadsBegun() == 2 * hosts);
-    CHECK(world.violation().empty());
+    CHECK(simulation.loadsBegun() == 2 * hosts);
+    CHECK(simulation.violation().empty());
 }
 
-// Where nothing is lost, hosts that hold one model only are as good as any, and each load has its price: 181 of them were begun on a day
-// on which no replica was lost, at 3,000 replicas whose hosts the first request found unprepared.
-TEST_CASE("Without losses few hosts are prepared for them after the first request, with losses as many as these ask for")
+// Without losses preparatory loads have a cost but no benefit. With 3,000 replicas whose hosts were unprepared at the first request, 181 of
+// them were begun on a day without any loss.
+TEST_CASE("After the first request the number of prepared hosts depends on the losses")
 {
-    assembly_world world(20, 8, 1);
-    world.sendSlowly(3);
-    while (world.servingGroups(small) < world.wantedGroups(small)) {
-        world.advance(duration(100));
+    assembly_simulation simulation(20, 8, 1);
+    simulation.limitSendRate(3);
+    while (simulation.servingGroups(small) < simulation.wantedGroups(small)) {
+        simulation.advance(duration(100));
     }
-    world.beginTraffic();
-    const auto atFirstRequest = world.loadsBegun();
+    simulation.beginTraffic();
+    const auto atFirstRequest = simulation.loadsBegun();
     REQUIRE(atFirstRequest < 2 * 20 * 8 - 60);
-    world.advance(std::chrono::seconds(100));
-    const auto before = world.loadsBegun();
+    simulation.advance(std::chrono::seconds(100));
+    const auto before = simulation.loadsBegun();
     CHECK(before - atFirstRequest <= 6);
     for (int i = 0; i < 6; ++i) {
-        world.lose(world.membersOfSomeGroup(big).back());
-        world.advance(std::chrono::seconds(5));
+        simulation.lose(simulation.membersOfAnyGroup(big).back());
+        simulation.advance(std::chrono::seconds(5));
     }
-    world.advance(std::chrono::seconds(60));
-    CHECK(world.loadsBegun() - before > 12);
-    CHECK(world.violation().empty());
+    simulation.advance(std::chrono::seconds(60));
+    CHECK(simulation.loadsBegun() - before > 12);
+    CHECK(simulation.violation().empty());
 }
 
-TEST_CASE("A group that lost a member is whole again within the time of a staged load")
+TEST_CASE("A group that lost a member is complete again within the time of a staged load")
 {
-    auto world = assembledWorld();
-    const auto members = world.membersBesideSmallGroup();
+    auto simulation = assembledSimulation();
+    const auto members = simulation.membersBesideSmallGroup();
     REQUIRE(members.size() == 4);
-    const auto loads = world.loadsBegun();
-    world.lose(members.back());
-    world.advance(duration(4500));
-    CHECK(world.violation().empty());
-    CHECK(world.servingGroups(big) == 8);
-    // A smaller group gave way, whose members held the larger model's weights.
-    CHECK(world.servingGroups(small) >= 7);
-    CHECK(world.loadsBegun() - loads <= 2);
+    const auto loads = simulation.loadsBegun();
+    simulation.lose(members.back());
+    simulation.advance(duration(4500));
+    CHECK(simulation.violation().empty());
+    CHECK(simulation.servingGroups(big) == 8);
+    // A smaller group was preempted, whose members held the larger model's weights.
+    CHECK(simulation.servingGroups(small) >= 7);
+    CHECK(simulation.loadsBegun() - loads <= 2);
 }
 
-TEST_CASE("A model that lacks fewer groups leaves the survivors of one that lacks more alone for a while")
+TEST_CASE("Survivors of a model that lacks more groups are reserved for it for a while")
 {
-    auto world = assembledWorld();
-    const auto bigGroups = world.openGroups(big);
+    auto simulation = assembledSimulation();
+    const auto bigGroups = simulation.openGroups(big);
     REQUIRE(bigGroups.size() == 8);
     std::vector<instance_id> survivors;
     for (std::size_t i = 0; i < 3; ++i) {
-        world.lose(bigGroups[i].back());
+        simulation.lose(bigGroups[i].back());
         survivors.insert(survivors.end(), bigGroups[i].begin(), bigGroups[i].end() - 1);
     }
     for (int i = 0; i < 4; ++i) {
-        world.advance(duration(250));
+        simulation.advance(duration(250));
         for (const auto &survivor : survivors) {
-            CHECK(world.groupSizeOf(survivor) != 2);
+            CHECK(simulation.groupSizeOf(survivor) != 2);
         }
     }
-    CHECK(world.violation().empty());
-    world.advance(std::chrono::seconds(30));
-    CHECK(world.servingGroups(big) >= 6);
+    CHECK(simulation.violation().empty());
+    simulation.advance(std::chrono::seconds(30));
+    CHECK(simulation.servingGroups(big) >= 6);
 }
 
-TEST_CASE("A member that is about to leave is replaced without cutting off what its group holds")
+TEST_CASE("A member that is about to leave is replaced without aborting the requests of its group")
 {
-    auto world = assembledWorld();
-    const auto members = world.membersOfSomeGroup(small);
-    world.apply({2, std::stoi(members.back().value().substr(1)) - 1, 6000});
-    world.advance(duration(6000));
-    CHECK(world.violation().empty());
-    CHECK(world.servingGroups(big) == 8);
+    auto simulation = assembledSimulation();
+    const auto members = simulation.membersOfAnyGroup(small);
+    simulation.apply({2, std::stoi(members.back().value().substr(1)) - 1, 6000});
+    simulation.advance(duration(6000));
+    CHECK(simulation.violation().empty());
+    CHECK(simulation.servingGroups(big) == 8);
 }
 
-TEST_CASE("A successor takes the groups that serve as they are")
+TEST_CASE("A successor adopts the serving groups unchanged")
 {
-    auto world = assembledWorld();
-    const auto before = world.membersOfSomeGroup(big);
-    const auto loads = world.loadsBegun();
-    world.takeOver();
-    world.advance(std::chrono::seconds(10));
-    CHECK(world.violation().empty());
-    CHECK(world.servingGroups(big) == 8);
-    CHECK(world.servingGroups(small) == 8);
-    CHECK(world.membersOfSomeGroup(big) == before);
-    CHECK(world.loadsBegun() == loads);
+    auto simulation = assembledSimulation();
+    const auto before = simulation.membersOfAnyGroup(big);
+    const auto loads = simulation.loadsBegun();
+    simulation.takeOver();
+    simulation.advance(std::chrono::seconds(10));
+    CHECK(simulation.violation().empty());
+    CHECK(simulation.servingGroups(big) == 8);
+    CHECK(simulation.servingGroups(small) == 8);
+    CHECK(simulation.membersOfAnyGroup(big) == before);
+    CHECK(simulation.loadsBegun() == loads);
 }
 
-TEST_CASE("A free replica is not loaded with one model after the other")
+TEST_CASE("A free replica does not load one model after the other")
 {
     const instant now(duration(1000000));
     replica_directory directory;
@@ -210,16 +211,16 @@
     replica.service = service_id("large");
     replica.domain = fabric_domain_id("rack");
     directory.replicas[replica.id] = replica;
-    const assembly_world world(1, 1, 1);
-    const std::set<instance_id> nobody;
+    const assembly_simulation simulation(1, 1, 1);
+    const std::set<instance_id> noSuspects;
     assembly_state state;
     state.term = 1;
     int loads = 0;
     for (int i = 0; i < 40; ++i) {
         for (const auto &order :
-             planAssembly(state, {directory, service_id("large"), world.engine(), nobody, false, now + duration(1000) * i})) {
+             planAssembly(state, {directory, service_id("large"), simulation.engine(), noSuspects, false, now + duration(1000) * i})) {
             REQUIRE(order.kind == order_kind::stage);
-            noteOrderResult(state, order, {order_result::taken, 0}, now + duration(1000) * i);
+            recordOrderResult(state, order, {order_result::accepted, 0}, now + duration(1000) * i);
             directory.replicas.at(replica.id).staged = {order.model};
             ++loads;
         }
@@ -229,7 +230,7 @@
 
 namespace {
 
-/// Four groups of the smaller model on two domains of six, each of which has two free replicas that are ready for the larger one.
+/// Two domains of six replicas, each with two groups of the smaller model and two free replicas that are ready for the larger one.
 replica_directory smallGroupsAndReadySpares()
 {
     replica_directory directory;
@@ -238,14 +239,14 @@
         replica.id = instance_id("r" + std::to_string(100 + i));
         replica.service = service_id("large");
         replica.domain = fabric_domain_id("rack" + std::to_string(i / 6));
-        const int place = i % 6;
-        if (place < 4) {
-            const std::uint64_t number = i / 6 * 2 + place / 2 + 1;
+        const int index = i % 6;
+        if (index < 4) {
+            const std::uint64_t number = i / 6 * 2 + index / 2 + 1;
             replica.model = small;
             replica.membership = {group_id("g" + std::to_string(number)),
                                   formation(number),
-                                  place % 2,
-                                  place % 2 == 0 ? member_state::open : member_state::ready};
+                                  index % 2,
+                                  index % 2 == 0 ? member_state::open : member_state::ready};
         } else {
             replica.staged = {big};
         }
@@ -256,24 +257,25 @@
 
 } // namespace
 
-// Departures are no losses, and the loads that are allowed without one are spent.
-TEST_CASE("A model without groups is not left without them where the members of others may load its weights")
+// Leaving members do not count as losses, and the preparatory loads that are allowed without losses are used up here.
+TEST_CASE("A model without groups gets one by loading its weights on members of other groups")
 {
     const instant now(duration(1000000));
     auto directory = smallGroupsAndReadySpares();
-    const assembly_world world(1, 1, 1);
-    const std::set<instance_id> nobody;
+    const assembly_simulation simulation(1, 1, 1);
+    const std::set<instance_id> noSuspects;
     assembly_state state;
     state.term = 1;
-    state.preparations.assign(state.policy.leastPreparations, now);
+    state.preparatoryLoads.assign(state.policy.minPreparations, now);
     std::set<fabric_domain_id> loadedIn;
     int loads = 0;
-    bool givesWay = false;
-    for (auto after = duration(); after < std::chrono::seconds(10) && !givesWay; after += duration(1000)) {
-        for (const auto &order : planAssembly(state, {directory, service_id("large"), world.engine(), nobody, false, now + after})) {
-            noteOrderResult(state, order, {order_result::taken, 0}, now + after);
+    bool isPreempted = false;
+    for (auto after = duration(); after < std::chrono::seconds(10) && !isPreempted; after += duration(1000)) {
+        for (const auto &order :
+             planAssembly(state, {directory, service_id("large"), simulation.engine(), noSuspects, false, now + after})) {
+            recordOrderResult(state, order, {order_result::accepted, 0}, now + after);
             auto &replica = directory.replicas.at(order.to);
-            givesWay = givesWay || order.kind == order_kind::close;
+            isPreempted = isPreempted || order.kind == order_kind::close;
             if (order.kind == order_kind::stage) {
                 replica.staged = {order.model};
                 loadedIn.insert(replica.domain);
@@ -281,17 +283,17 @@
             }
         }
     }
-    CHECK(givesWay);
+    CHECK(isPreempted);
     CHECK(loads == 2);
     CHECK(loadedIn.size() == 1);
 }
 
-TEST_CASE("What a domain has over whole groups counts for no group's target")
+TEST_CASE("A domain's replicas beyond whole groups do not count towards the targets")
 {
     const instant now(duration(1000000));
     replica_directory directory;
-    const assembly_world world(1, 1, 1);
-    const std::set<instance_id> nobody;
+    const assembly_simulation simulation(1, 1, 1);
+    const std::set<instance_id> noSuspects;
     for (int i = 0; i < 7 * 6; ++i) {
         served_replica replica;
         replica.id = instance_id("r" + std::to_string(100 + i));
@@ -301,12 +303,12 @@
     }
     assembly_state state;
     state.term = 1;
-    planAssembly(state, {directory, service_id("large"), world.engine(), nobody, false, now});
-    // Six of the seven replicas of each domain can stand in groups of two and four.
+    planAssembly(state, {directory, service_id("large"), simulation.engine(), noSuspects, false, now});
+    // Six of the seven replicas of each domain can be in groups of two and four.
     CHECK(state.usable == 36);
 }
 
-TEST_CASE("A load on a replica that died makes room for another one")
+TEST_CASE("When a loading replica dies, another load may begin")
 {
     const instant now(duration(1000000));
     replica_directory directory;
@@ -317,16 +319,16 @@
         replica.domain = fabric_domain_id("rack");
         directory.replicas[replica.id] = replica;
     }
-    const assembly_world world(1, 1, 1);
+    const assembly_simulation simulation(1, 1, 1);
     std::set<instance_id> silent;
-    const std::set<instance_id> nobody;
+    const std::set<instance_id> noSuspects;
     assembly_state state;
     state.term = 1;
     const auto loadsAt = [&](duration after) {
         std::vector<instance_id> loaded;
-        for (const auto &order : planAssembly(state, {directory, service_id("large"), world.engine(), silent, false, now + after})) {
+        for (const auto &order : planAssembly(state, {directory, service_id("large"), simulation.engine(), silent, false, now + after})) {
             loaded.push_back(order.to);
-            noteOrderResult(state, order, {order_result::taken, 0}, now + after);
+            recordOrderResult(state, order, {order_result::accepted, 0}, now + after);
         }
         return loaded;
     };
@@ -349,24 +351,24 @@
     const auto property = [&steps] {
         const auto seed = *rc::gen::arbitrary<std::uint16_t>();
         const auto plan = *rc::gen::resize(rc::kNominalSize, rc::gen::container<std::vector<assembly_step>>(stepsPerCase, anyStep()));
-        assembly_world world(3, 8, seed);
-        world.heal(std::chrono::seconds(20));
-        world.beginTraffic();
+        assembly_simulation simulation(3, 8, seed);
+        simulation.heal(std::chrono::seconds(20));
+        simulation.beginTraffic();
         for (const auto &step : plan) {
-            world.apply(step);
+            simulation.apply(step);
             ++steps;
-            if (!world.violation().empty()) {
-                RC_FAIL(world.violation() + " (step " + std::to_string(steps) + ")");
+            if (!simulation.violation().empty()) {
+                RC_FAIL(simulation.violation() + " (step " + std::to_string(steps) + ")");
             }
         }
-        world.heal(timeToBeWhole);
-        for (const auto &model : world.engine().models) {
-            if (world.servingGroups(model.id) == 0 && world.wantedGroups(model.id) > 0) {
-                RC_FAIL("no group of " + model.id.value() + ": " + world.summary());
+        simulation.heal(recoveryTime);
+        for (const auto &model : simulation.engine().models) {
+            if (simulation.servingGroups(model.id) == 0 && simulation.wantedGroups(model.id) > 0) {
+                RC_FAIL("no group of " + model.id.value() + ": " + simulation.summary());
             }
         }
-        if (!world.violation().empty()) {
-            RC_FAIL(world.violation() + " (step " + std::to_string(steps) + ")");
+        if (!simulation.violation().empty()) {
+            RC_FAIL(simulation.violation() + " (step " + std::to_string(steps) + ")");
         }
     };
     checkProperty("assembly", fuzzSteps(casesInCi * stepsPerCase) / stepsPerCase, property);
--- a/Tests/Assembly/testDemandShares.cpp
+++ b/Tests/Assembly/testDemandShares.cpp
@@ -21,42 +21,42 @@
 std::map<model_id, double> sharesWith(int ofLarge, int ofSmall)
 {
     smoothed_demand demand;
-    noteDemand(demand, {{large, ofLarge}, {small, ofSmall}}, start);
+    updateDemand(demand, {{large, ofLarge}, {small, ofSmall}}, start);
     return demandShares(demand, halves());
 }
 
 } // namespace
 
-TEST_CASE("Without a measure, or with a few requests, the configured shares hold")
+TEST_CASE("Without a measurement, or with few requests, the configured shares apply")
 {
     CHECK(demandShares({}, halves()).at(large) == Approx(0.5));
     CHECK(sharesWith(1, 5).at(small) == Approx(0.5));
 }
 
-TEST_CASE("Shares follow the requests that are held, half the way to groups that hold equally many each")
+TEST_CASE("Shares move half the way to groups that hold equally many requests each")
 {
-    // Equal parts would be 0.4 and 0.6; the measure is followed half the way.
+    // Groups would hold equally many requests with shares of 0.4 and 0.6; the result is the geometric mean, normalised.
     const auto shares = sharesWith(80, 240);
     CHECK(shares.at(large) == Approx(0.449).margin(0.001));
     CHECK(shares.at(small) == Approx(0.551).margin(0.001));
     CHECK(sharesWith(80, 160).at(large) == Approx(0.5));
 }
 
-TEST_CASE("A model that serves nothing, and so holds nothing, keeps a part of its share")
+TEST_CASE("A model that holds no requests, since it serves none, keeps a part of its share")
 {
     const auto shares = sharesWith(0, 400);
     CHECK(shares.at(large) == Approx(0.375));
     CHECK(shares.at(small) == Approx(0.625));
 }
 
-TEST_CASE("A short burst changes little, a lasting one much")
+TEST_CASE("A short burst hardly changes the smoothed demand, a lasting one does")
 {
     smoothed_demand demand;
-    noteDemand(demand, {{large, 100}, {small, 200}}, start);
-    noteDemand(demand, {{large, 100}, {small, 800}}, start + duration(200));
+    updateDemand(demand, {{large, 100}, {small, 200}}, start);
+    updateDemand(demand, {{large, 100}, {small, 800}}, start + duration(200));
     CHECK(demand.outstanding.at(small) < 220);
     for (int i = 1; i < 200; ++i) {
-        noteDemand(demand, {{large, 100}, {small, 800}}, start + duration(200) * i);
+        updateDemand(demand, {{large, 100}, {small, 800}}, start + duration(200) * i);
     }
     CHECK(demand.outstanding.at(small) > 780);
 }
