--- a/Tests/Assembly/testLostHeads.cpp
+++ b/Tests/Assembly/testLostHeads.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Groups whose head is silent or absent, leaves, or was ordered by an earlier coordinator: when their members may be used again.
-#include "Tests/Assembly/assemblyWorld.h"
+// Tests when the members of a group may join another one, if its head is silent, absent, leaving or has orders of an earlier coordinator.
+#include "Tests/Assembly/assemblySimulation.h"
 
 #include <catch2/catch.hpp>
 
@@ -39,38 +39,38 @@
 
 } // namespace
 
-// A tenth of all replicas was cut off from the key-value service for five seconds and served on. Their groups were closed all at once,
-// since a replica that could take the member's place was free, and two thirds of the requests came late.
-TEST_CASE("A group goes on serving with a member whose entry went, while that member answers")
+// When a tenth of all replicas is cut off from the key-value service for five seconds, they keep serving. If their groups are closed at
+// once because a replacement is free, two thirds of the requests are late.
+TEST_CASE("A group keeps serving with a member whose entry is gone, while that member answers")
 {
     const instant now(duration(1000000));
     auto directory = groupOfTwo();
-    const assembly_world world(1, 1, 1);
-    const std::set<instance_id> nobody;
+    const assembly_simulation simulation(1, 1, 1);
+    const std::set<instance_id> noSuspects;
     assembly_state state;
     state.term = 2;
     const auto closesAt = [&](duration after, const std::set<instance_id> &suspects) {
-        const auto orders = planAssembly(state, {directory, service_id("large"), world.engine(), suspects, false, now + after});
+        const auto orders = planAssembly(state, {directory, service_id("large"), simulation.engine(), suspects, false, now + after});
         return std::any_of(orders.begin(), orders.end(), [](const replica_order &order) { return order.kind == order_kind::close; });
     };
-    CHECK_FALSE(closesAt(duration(0), nobody));
+    CHECK_FALSE(closesAt(duration(0), noSuspects));
     auto &member = directory.replicas[instance_id("member")];
     markUnlisted(member);
     const auto went = duration(1000);
-    for (auto after = went; after < went + state.policy.unlistedMemberStay; after += duration(500)) {
-        CHECK_FALSE(closesAt(after, nobody));
+    for (auto after = went; after < went + state.policy.unlistedMemberGrace; after += duration(500)) {
+        CHECK_FALSE(closesAt(after, noSuspects));
     }
 
     SECTION("its entry comes back")
     {
         member.isDraining = false;
         member.isUnlisted = false;
-        CHECK_FALSE(closesAt(went + state.policy.unlistedMemberStay, nobody));
+        CHECK_FALSE(closesAt(went + state.policy.unlistedMemberGrace, noSuspects));
     }
 
-    SECTION("it stays away: before one that leaves can have ended, its group closes")
+    SECTION("its entry stays away: the group closes before a leaving member could have ended")
     {
-        CHECK(closesAt(went + state.policy.unlistedMemberStay, nobody));
+        CHECK(closesAt(went + state.policy.unlistedMemberGrace, noSuspects));
     }
 
     SECTION("it stops answering")
@@ -78,10 +78,10 @@
         CHECK(closesAt(went + duration(7500), {instance_id("member")}));
     }
 
-    SECTION("a member that says it leaves is replaced as soon as it can be")
+    SECTION("a member that reports that it is leaving is replaced as soon as possible")
     {
         member.isUnlisted = false;
-        CHECK(closesAt(went + duration(7500), nobody));
+        CHECK(closesAt(went + duration(7500), noSuspects));
     }
 }
 
@@ -91,50 +91,50 @@
     auto directory = groupOfTwo();
     markUnlisted(directory.replicas[instance_id("head")]);
 
-    const assembly_world world(1, 1, 1);
+    const assembly_simulation simulation(1, 1, 1);
     const std::set<instance_id> silent = {instance_id("head")};
     assembly_state state;
     state.term = 2;
     const auto ordersAt = [&](instant when) {
         const auto silentThen = when == now ? std::set<instance_id>() : silent;
-        return planAssembly(state, {directory, service_id("large"), world.engine(), silentThen, false, when});
+        return planAssembly(state, {directory, service_id("large"), simulation.engine(), silentThen, false, when});
     };
-    // It has taken the order to finish; from then on nobody reaches it.
+    // The head accepts the order to finish and is unreachable from then on.
     for (const auto &order : ordersAt(now)) {
-        noteOrderResult(state, order, {order_result::taken, 0}, now);
+        recordOrderResult(state, order, {order_result::accepted, 0}, now);
     }
     for (int i = 1; i < 9; ++i) {
         for (const auto &order : ordersAt(now + duration(1000) * i)) {
             CHECK(order.kind != order_kind::join);
-            noteOrderResult(state, order, {order_result::gone, 0}, now + duration(1000) * i);
+            recordOrderResult(state, order, {order_result::gone, 0}, now + duration(1000) * i);
         }
         CHECK(state.groups.contains(group_id("g")));
     }
-    ordersAt(now + state.policy.leavingHeadWait + duration(2000));
+    ordersAt(now + state.policy.leavingHeadTimeout + duration(2000));
     CHECK_FALSE(state.groups.contains(group_id("g")));
 }
 
 namespace {
 
-/// Plans for groupOfTwo() while its head is silent. Orders have no answer.
-class silent_head
+/// Plans for groupOfTwo() while its head is silent. Orders are not answered.
+class silent_head_simulation
 {
 public:
-    silent_head()
+    silent_head_simulation()
     {
         m_state.term = 2;
         round({}, duration(0));
     }
 
-    /// \a isStaying: its entry, read anew, says that it does not leave.
+    /// Plans one round. \a isStaying: the suspects' entries were read again and do not mark them as leaving.
     void round(const std::set<instance_id> &suspects, duration after, bool isStaying = false)
     {
-        const std::set<instance_id> nobody;
+        const std::set<instance_id> noSuspects;
         const auto now = instant(duration(1000000)) + after;
         const auto orders = planAssembly(
-            m_state, {directory, service_id("large"), m_world.engine(), suspects, false, now, isStaying ? suspects : nobody});
+            m_state, {directory, service_id("large"), m_world.engine(), suspects, false, now, isStaying ? suspects : noSuspects});
         for (const auto &order : orders) {
-            noteOrderResult(m_state, order, {order_result::unknown, 0}, now);
+            recordOrderResult(m_state, order, {order_result::unknown, 0}, now);
         }
     }
 
@@ -148,119 +148,118 @@
     const assembly_policy policy;
 
 private:
-    const assembly_world m_world{1, 1, 1};
+    const assembly_simulation m_world{1, 1, 1};
     assembly_state m_state;
 };
 
 } // namespace
 
-TEST_CASE("A head that fell silent without leaving has crashed, and does not keep its group for longer when its entry lapses")
+TEST_CASE("A head that fell silent without leaving counts as crashed, and its lapsing entry does not prolong the wait")
 {
-    silent_head world;
-    CHECK(world.hasGroup());
-    world.round(world.head, duration(600), true);
-    markUnlisted(world.directory.replicas[instance_id("head")]);
-    world.round(world.head, duration(4000));
-    CHECK(world.hasGroup());
-    world.round(world.head, duration(600) + world.policy.silentHeadWait);
-    world.round(world.head, duration(700) + world.policy.silentHeadWait);
-    CHECK_FALSE(world.hasGroup());
+    silent_head_simulation simulation;
+    CHECK(simulation.hasGroup());
+    simulation.round(simulation.head, duration(600), true);
+    markUnlisted(simulation.directory.replicas[instance_id("head")]);
+    simulation.round(simulation.head, duration(4000));
+    CHECK(simulation.hasGroup());
+    simulation.round(simulation.head, duration(600) + simulation.policy.silentHeadTimeout);
+    simulation.round(simulation.head, duration(700) + simulation.policy.silentHeadTimeout);
+    CHECK_FALSE(simulation.hasGroup());
 }
 
-TEST_CASE("A silent head keeps its group while it may be leaving, though the directory does not say so")
+TEST_CASE("A silent head keeps its group while it may be leaving, even if the directory does not show that")
 {
-    silent_head world;
-    // The service's watch told nothing for a while: the head may have stopped listening and still finish requests.
-    world.round(world.head, duration(600));
-    world.round(world.head, duration(800));
-    CHECK(world.hasGroup());
-    world.round(world.head, duration(700) + world.policy.silentHeadWait);
-    CHECK(world.hasGroup());
-    world.round(world.head, duration(700) + world.policy.leavingHeadWait);
-    world.round(world.head, duration(800) + world.policy.leavingHeadWait);
-    CHECK_FALSE(world.hasGroup());
+    silent_head_simulation simulation;
+    // Changes from the key-value service are delayed: the head may have stopped listening and still finish requests.
+    simulation.round(simulation.head, duration(600));
+    simulation.round(simulation.head, duration(800));
+    CHECK(simulation.hasGroup());
+    simulation.round(simulation.head, duration(700) + simulation.policy.silentHeadTimeout);
+    CHECK(simulation.hasGroup());
+    simulation.round(simulation.head, duration(700) + simulation.policy.leavingHeadTimeout);
+    simulation.round(simulation.head, duration(800) + simulation.policy.leavingHeadTimeout);
+    CHECK_FALSE(simulation.hasGroup());
 }
 
-// What users saw: a replica took its place in a new group while the head of its group was open. The head was cut off from all daemons for
-// six seconds, but not from its members and not from the key-value service. Eight daemons that were asked to look found it silent, and none
-// found it alive; half a second after the cut its group was given up. The evidence: the entry was read anew, was there and did not say that
-// the replica leaves; a replica that has crashed loses its entry after three heartbeats.
-TEST_CASE("A silent head that does not leave keeps its group as long as its entry is there")
+// Guards against a replica that joins a new group while the head of its group is open. It happens if a head is cut off from all daemons but
+// not from its members or the key-value service, and its group is given up because all daemons that probe it find it silent. Its entry,
+// read again, is present and does not mark it as leaving; a crashed replica loses its entry after three heartbeats.
+TEST_CASE("A silent head that is not leaving keeps its group as long as its entry exists")
 {
-    silent_head world;
+    silent_head_simulation simulation;
     for (int i = 0; i < 40; ++i) {
-        world.round(world.head, duration(600) + duration(200) * i, true);
-        CHECK(world.hasGroup());
+        simulation.round(simulation.head, duration(600) + duration(200) * i, true);
+        CHECK(simulation.hasGroup());
     }
 }
 
-// The soak's seed 301: a head was cut off from its members, the daemons and the key-value service at once. Its entry lapsed before the
-// stall time was over, several daemons had found it silent, and its members joined another group while it stood still and was not yet
-// broken.
-TEST_CASE("A silent head whose entry goes keeps its group until the stall time is over")
+// Guards against members that join another group while their head is stalled but not yet broken (seed 301 of the soak test). It happens if
+// a head is cut off from its members, the daemons and the key-value service at once: its entry lapses before the stall time has passed, and
+// several daemons find it silent.
+TEST_CASE("A silent head whose entry is gone keeps its group until the stall time has passed")
 {
-    silent_head world;
-    world.round(world.head, duration(600), true);
-    world.round(world.head, duration(3800));
-    CHECK(world.hasGroup());
-    markUnlisted(world.directory.replicas[instance_id("head")]);
-    for (duration after(3900); after < duration(600) + world.policy.silentHeadWait; after += duration(100)) {
-        world.round(world.head, after);
-        CHECK(world.hasGroup());
+    silent_head_simulation simulation;
+    simulation.round(simulation.head, duration(600), true);
+    simulation.round(simulation.head, duration(3800));
+    CHECK(simulation.hasGroup());
+    markUnlisted(simulation.directory.replicas[instance_id("head")]);
+    for (duration after(3900); after < duration(600) + simulation.policy.silentHeadTimeout; after += duration(100)) {
+        simulation.round(simulation.head, after);
+        CHECK(simulation.hasGroup());
     }
-    world.round(world.head, duration(600) + world.policy.silentHeadWait);
-    world.round(world.head, duration(700) + world.policy.silentHeadWait);
-    CHECK_FALSE(world.hasGroup());
+    simulation.round(simulation.head, duration(600) + simulation.policy.silentHeadTimeout);
+    simulation.round(simulation.head, duration(700) + simulation.policy.silentHeadTimeout);
+    CHECK_FALSE(simulation.hasGroup());
 }
 
-TEST_CASE("A head that was found silent by mistake and begins to leave then keeps its group until it has finished")
+TEST_CASE("A head that was wrongly found silent and then begins to leave keeps its group until it has finished")
 {
-    silent_head world;
-    world.round(world.head, duration(600), true);
-    world.directory.replicas.at(instance_id("head")).isDraining = true;
-    world.round(world.head, duration(2000));
-    world.round(world.head, duration(3000));
-    world.round(world.head, duration(1500) + world.policy.silentHeadWait);
-    CHECK(world.hasGroup());
-    world.round(world.head, duration(1500) + world.policy.leavingHeadWait);
-    CHECK_FALSE(world.hasGroup());
+    silent_head_simulation simulation;
+    simulation.round(simulation.head, duration(600), true);
+    simulation.directory.replicas.at(instance_id("head")).isDraining = true;
+    simulation.round(simulation.head, duration(2000));
+    simulation.round(simulation.head, duration(3000));
+    simulation.round(simulation.head, duration(1500) + simulation.policy.silentHeadTimeout);
+    CHECK(simulation.hasGroup());
+    simulation.round(simulation.head, duration(1500) + simulation.policy.leavingHeadTimeout);
+    CHECK_FALSE(simulation.hasGroup());
 }
 
 namespace {
 
-/// Whether any of the orders gives a replica a place in another group.
+/// Whether any of the orders makes a replica join another group.
 bool hasJoin(const std::vector<replica_order> &orders)
 {
     return std::any_of(orders.begin(), orders.end(), [](const replica_order &order) {
-        // A join begins with a question for the number of orders taken.
-        return order.kind == order_kind::join || order.kind == order_kind::look;
+        // Before a join the replica may be probed for the number of orders that it has accepted.
+        return order.kind == order_kind::join || order.kind == order_kind::probe;
     });
 }
 
 } // namespace
 
-// What users saw: a replica took its place in a new group while the head of its group was open. The head had been cut off from the
-// key-value service, so that its entry was gone, and still served; then all daemons were killed. The one that coordinated next knew the
-// service's listing alone. It took the members, whose head nobody listed, for free. The evidence: an order to join right after a takeover,
-// without any decision on the group that the member named.
-TEST_CASE("A successor that does not find a group's head in the listing leaves its members alone while the head may still serve")
+// Guards against a replica that joins a new group while the head of its group is open. It happens if a head that is cut off from the
+// key-value service has lost its entry but still serves, and then all daemons are killed: the next coordinator knows only the service's
+// listing and treats the members of the unlisted head as free. The trace shows an order to join right after a takeover, without a decision
+// on the group that the member reports.
+TEST_CASE("If a group's head is not listed, a successor does not reuse its members while the head may still serve")
 {
     const instant now(duration(1000000));
     auto directory = groupOfTwo();
     const auto head = directory.replicas.extract(instance_id("head"));
-    const assembly_world world(1, 1, 1);
-    const std::set<instance_id> nobody;
+    const assembly_simulation simulation(1, 1, 1);
+    const std::set<instance_id> noSuspects;
     assembly_state state;
     state.term = 2;
     const auto ordersAt = [&](duration after) {
-        auto orders = planAssembly(state, {directory, service_id("large"), world.engine(), nobody, false, now + after, {}, now});
+        auto orders = planAssembly(state, {directory, service_id("large"), simulation.engine(), noSuspects, false, now + after, {}, now});
         for (const auto &order : orders) {
-            noteOrderResult(state, order, {order_result::taken, 0}, now + after);
+            recordOrderResult(state, order, {order_result::accepted, 0}, now + after);
         }
         return orders;
     };
 
-    SECTION("it comes back into the listing")
+    SECTION("the head is listed again")
     {
         for (int i = 0; i < 8; ++i) {
             CHECK_FALSE(hasJoin(ordersAt(duration(1000) * i)));
@@ -271,14 +270,15 @@
         }
     }
 
-    SECTION("the successor has followed the entries for long: the head has had the time to end")
+    SECTION("the successor has followed the entries for so long that the head has had the time to end")
     {
         const auto orders = planAssembly(
-            state, {directory, service_id("large"), world.engine(), nobody, false, now, {}, now - state.policy.leavingHeadWait});
+            state,
+            {directory, service_id("large"), simulation.engine(), noSuspects, false, now, {}, now - state.policy.leavingHeadTimeout});
         CHECK(hasJoin(orders));
     }
 
-    SECTION("it never comes back")
+    SECTION("the head is never listed again")
     {
         for (int i = 0; i < 8; ++i) {
             CHECK_FALSE(hasJoin(ordersAt(duration(1000) * i)));
@@ -291,23 +291,23 @@
     }
 }
 
-// What users saw: after the key-value service had been away and all daemons had been killed, fifteen replicas took places in new groups
-// while the heads of theirs were open. The entries had lapsed with the service; they came back one by one within two seconds, the
-// coordinator had started and planned already, and members whose head was not back yet counted as free. The evidence: no decision to adopt
-// the groups, orders to join their members, and 20 ms later "closing a head that no plan knows".
-TEST_CASE("A successor leaves groups alone whose entries come back after it has begun to plan")
+// Guards against replicas that join new groups while the heads of theirs are open. It happens after an outage of the key-value service in
+// which all daemons are killed: the lapsed entries return one by one within two seconds, after the new coordinator has begun to plan, and
+// members whose head is not listed yet count as free. The trace shows no decision to adopt the groups, orders to join to their members, and
+// 20 ms later the decision "closing an unplanned head".
+TEST_CASE("A successor adopts groups whose entries return after it has begun to plan")
 {
     const instant now(duration(1000000));
     const auto whole = groupOfTwo();
     replica_directory directory;
-    const assembly_world world(1, 1, 1);
-    const std::set<instance_id> nobody;
+    const assembly_simulation simulation(1, 1, 1);
+    const std::set<instance_id> noSuspects;
     assembly_state state;
     state.term = 2;
     const auto ordersAt = [&](duration after) {
-        auto orders = planAssembly(state, {directory, service_id("large"), world.engine(), nobody, false, now + after, {}, now});
+        auto orders = planAssembly(state, {directory, service_id("large"), simulation.engine(), noSuspects, false, now + after, {}, now});
         for (const auto &order : orders) {
-            noteOrderResult(state, order, {order_result::taken, 0}, now + after);
+            recordOrderResult(state, order, {order_result::accepted, 0}, now + after);
         }
         return orders;
     };
@@ -328,7 +328,7 @@
     CHECK(state.groups.contains(group_id("g")));
 }
 
-TEST_CASE("A successor leaves members alone whose entries come back one after the other, and their head's last")
+TEST_CASE("A successor does not reuse members whose entries return one by one, before their head's")
 {
     const instant now(duration(1000000));
     const auto whole = groupOfTwo();
@@ -336,14 +336,14 @@
     another.id = instance_id("another");
     another.membership->rank = 2;
     replica_directory directory;
-    const assembly_world world(1, 1, 1);
-    const std::set<instance_id> nobody;
+    const assembly_simulation simulation(1, 1, 1);
+    const std::set<instance_id> noSuspects;
     assembly_state state;
     state.term = 2;
     const auto hasJoinAt = [&](duration after) {
-        auto orders = planAssembly(state, {directory, service_id("large"), world.engine(), nobody, false, now + after, {}, now});
+        auto orders = planAssembly(state, {directory, service_id("large"), simulation.engine(), noSuspects, false, now + after, {}, now});
         for (const auto &order : orders) {
-            noteOrderResult(state, order, {order_result::taken, 0}, now + after);
+            recordOrderResult(state, order, {order_result::accepted, 0}, now + after);
         }
         return hasJoin(orders);
     };
@@ -356,124 +356,123 @@
     }
 }
 
-// What users saw: a replica took its place in a new group while the head of its group was open. The head had been cut off from all daemons
-// and the key-value service for some seconds: it was taken for dead and its group was given up. When the cut ended it was still open by its
-// own word, but what had been decided of it stayed decided: it and its members counted as free. The evidence: an order to join after the
-// head had answered again.
-TEST_CASE("A head that was taken for dead and is heard again holds its group until it is closed")
+// Guards against a replica that joins a new group while the head of its group is open. It happens if a head is cut off from all daemons and
+// the key-value service for some seconds, is considered dead and its group is given up. After the partition the head still reports itself
+// open; if it and its members still count as free, the trace shows an order to join after the head has answered again.
+TEST_CASE("A head that was considered dead and answers again holds its group until it is closed")
 {
     const instant now(duration(1000000));
     auto directory = groupOfTwo();
     // Without the spare no new group can be formed while the head is silent.
     directory.replicas.erase(instance_id("spare"));
-    const assembly_world world(1, 1, 1);
-    const std::set<instance_id> nobody;
+    const assembly_simulation simulation(1, 1, 1);
+    const std::set<instance_id> noSuspects;
     const std::set<instance_id> silent = {instance_id("head")};
     assembly_state state;
     state.term = 2;
     const auto ordersAt = [&](duration after, const std::set<instance_id> &suspects, order_result result) {
-        auto orders = planAssembly(state, {directory, service_id("large"), world.engine(), suspects, false, now + after, suspects});
+        auto orders = planAssembly(state, {directory, service_id("large"), simulation.engine(), suspects, false, now + after, suspects});
         for (const auto &order : orders) {
-            noteOrderResult(state, order, {result, 0}, now + after);
+            recordOrderResult(state, order, {result, 0}, now + after);
         }
         return orders;
     };
-    ordersAt(duration(0), nobody, order_result::unknown);
+    ordersAt(duration(0), noSuspects, order_result::unknown);
     const auto entry = directory.replicas[instance_id("head")];
     ordersAt(duration(600), silent, order_result::unknown);
-    // It was cut off from the key-value service too.
+    // The head is cut off from the key-value service too.
     markUnlisted(directory.replicas[instance_id("head")]);
     ordersAt(duration(750), silent, order_result::unknown);
     REQUIRE(state.groups.contains(group_id("g")));
-    const auto givenUp = duration(750) + state.policy.silentHeadWait;
+    const auto givenUp = duration(750) + state.policy.silentHeadTimeout;
     ordersAt(givenUp, silent, order_result::unknown);
     REQUIRE_FALSE(state.groups.contains(group_id("g")));
 
-    // The cut has ended.
+    // The partition has ended.
     directory.replicas[instance_id("head")] = entry;
-    bool isTold = false;
+    bool isOrderedToClose = false;
     for (int i = 0; i < 20; ++i) {
-        const auto orders = ordersAt(givenUp + duration(1250 + 100 * i), nobody, order_result::taken);
+        const auto orders = ordersAt(givenUp + duration(1250 + 100 * i), noSuspects, order_result::accepted);
         CHECK_FALSE(hasJoin(orders));
-        isTold = isTold
+        isOrderedToClose = isOrderedToClose
             || std::any_of(orders.begin(), orders.end(), [](const replica_order &order) { return order.kind == order_kind::close; });
     }
-    CHECK(isTold);
+    CHECK(isOrderedToClose);
     directory.replicas[instance_id("head")].membership->state = member_state::ready;
     bool hasJoined = false;
     for (int i = 0; i < 20; ++i) {
-        hasJoined = hasJoin(ordersAt(givenUp + duration(4250 + 100 * i), nobody, order_result::taken)) || hasJoined;
+        hasJoined = hasJoin(ordersAt(givenUp + duration(4250 + 100 * i), noSuspects, order_result::accepted)) || hasJoined;
     }
     CHECK(hasJoined);
 }
 
-// What users saw: a replica took its place in a new group while the head of its group was closing. The head had been told to finish; while
-// that order was under way a direct look at it had no answer in time, so that it was to be cut off instead. Its answer to the first order
-// then counted as an answer to the second one, which was never sent: the group was given up while the head still finished requests. The
-// evidence: one order to close, with the method to finish, before the decision that the head is gone.
-TEST_CASE("A head that has taken the order to finish has not taken the one to cut")
+// Guards against a replica that joins a new group while the head of its group is closing. It happens if a head is ordered to finish, a
+// direct probe times out while that order is pending, and the close method therefore changes to cut. If the answer to the first order
+// counts for the second, which is never sent, the group is given up while the head still finishes requests. The trace shows one order to
+// close, with the method to finish, before the decision that the head is gone.
+TEST_CASE("A head that has accepted the order to finish has not accepted the order to cut")
 {
     const instant now(duration(1000000));
     auto directory = groupOfTwo();
     directory.replicas.erase(instance_id("spare"));
-    const assembly_world world(1, 1, 1);
-    const std::set<instance_id> nobody;
+    const assembly_simulation simulation(1, 1, 1);
+    const std::set<instance_id> noSuspects;
     const std::set<instance_id> silent = {instance_id("head")};
     assembly_state state;
     state.term = 2;
     const auto ordersAt = [&](duration after, const std::set<instance_id> &suspects) {
-        return planAssembly(state, {directory, service_id("large"), world.engine(), suspects, false, now + after, suspects});
+        return planAssembly(state, {directory, service_id("large"), simulation.engine(), suspects, false, now + after, suspects});
     };
     const auto isClose = [](const replica_order &order) { return order.kind == order_kind::close; };
-    ordersAt(duration(0), nobody);
-    // A member begins to leave, and nobody can replace it.
+    ordersAt(duration(0), noSuspects);
+    // A member begins to leave, and no replacement is available.
     directory.replicas[instance_id("member")].isDraining = true;
-    ordersAt(duration(100), nobody);
-    const auto after = state.policy.leavingStay + duration(200);
-    const auto asked = ordersAt(after, nobody);
+    ordersAt(duration(100), noSuspects);
+    const auto after = state.policy.leavingMemberGrace + duration(200);
+    const auto asked = ordersAt(after, noSuspects);
     const auto finish = std::find_if(asked.begin(), asked.end(), isClose);
     REQUIRE(finish != asked.end());
     REQUIRE(finish->method == close_method::finish);
     directory.replicas[instance_id("head")].membership->state = member_state::closing;
     ordersAt(after + duration(200), silent);
-    noteOrderResult(state, *finish, {order_result::taken, 0}, now + after + duration(250));
+    recordOrderResult(state, *finish, {order_result::accepted, 0}, now + after + duration(250));
     ordersAt(after + duration(300), silent);
     CHECK(state.groups.contains(group_id("g")));
-    const auto orders = ordersAt(after + duration(250) + state.policy.orderRetry, silent);
+    const auto orders = ordersAt(after + duration(250) + state.policy.orderRetryDelay, silent);
     const auto cut = std::find_if(orders.begin(), orders.end(), isClose);
     REQUIRE(cut != orders.end());
     CHECK(cut->method == close_method::cut);
-    noteOrderResult(state, *cut, {order_result::taken, 0}, now + after + duration(1200));
+    recordOrderResult(state, *cut, {order_result::accepted, 0}, now + after + duration(1200));
     ordersAt(after + duration(1300), silent);
     CHECK_FALSE(state.groups.contains(group_id("g")));
 }
 
-// What can happen, by reading: two small groups are closed so that their replicas can form a larger one. The larger group's head takes its
-// place; the order to join that goes to a member of the other small group has no answer and is still on its way when the coordinator is
-// killed. Its successor finds that small group whole and ready and opens it, while its members have taken no order since: the late order
-// still finds the number that it expects, and the member leaves for the larger group while its own head is open.
-TEST_CASE("A successor opens no group on the places that a predecessor gave, since an order of that one may still come late")
+// Guards against a case found by code review: two small groups are closed so that their replicas can form a larger one. The larger group's
+// head joins; the order to join for a member of the other small group is still in transit when the coordinator is killed. If the successor
+// finds that small group complete and ready and opens it although its members have accepted no order since, the late order still finds the
+// number of accepted orders that it expects, and the member joins the larger group while its own head is open.
+TEST_CASE("A successor opens no group that a predecessor formed, since the predecessor's orders may still arrive late")
 {
-    constexpr std::uint64_t takenBefore = 5;
+    constexpr std::uint64_t acceptedBefore = 5;
     const instant now(duration(1000000));
     auto directory = groupOfTwo();
     directory.replicas.erase(instance_id("spare"));
     directory.replicas[instance_id("head")].membership->state = member_state::ready;
-    std::map<instance_id, std::uint64_t> taken = {{instance_id("head"), takenBefore}, {instance_id("member"), takenBefore}};
-    const assembly_world world(1, 1, 1);
-    const std::set<instance_id> nobody;
+    std::map<instance_id, std::uint64_t> accepted = {{instance_id("head"), acceptedBefore}, {instance_id("member"), acceptedBefore}};
+    const assembly_simulation simulation(1, 1, 1);
+    const std::set<instance_id> noSuspects;
     assembly_state state;
     state.term = 2;
     bool isOpen = false;
     for (int i = 0; i < 60 && !isOpen; ++i) {
         const auto when = now + duration(100) * i;
-        for (const auto &order : planAssembly(state, {directory, service_id("large"), world.engine(), nobody, false, when})) {
+        for (const auto &order : planAssembly(state, {directory, service_id("large"), simulation.engine(), noSuspects, false, when})) {
             auto &replica = directory.replicas.at(order.to);
-            if (order.kind == order_kind::look) {
-                noteOrderResult(state, order, {order_result::taken, taken[order.to]}, when);
+            if (order.kind == order_kind::probe) {
+                recordOrderResult(state, order, {order_result::accepted, accepted[order.to]}, when);
                 continue;
             }
-            ++taken[order.to];
+            ++accepted[order.to];
             if (order.kind == order_kind::join) {
                 const auto rank = std::find(order.members.begin(), order.members.end(), order.to) - order.members.begin();
                 replica.membership = {order.group, order.formed, static_cast<int>(rank), member_state::ready};
@@ -483,18 +482,18 @@
                 replica.membership->state = member_state::open;
                 isOpen = true;
             }
-            noteOrderResult(state, order, {order_result::taken, 0}, when);
+            recordOrderResult(state, order, {order_result::accepted, 0}, when);
         }
     }
     REQUIRE(isOpen);
-    // A late order to the member expects the number from before.
-    CHECK(taken[instance_id("member")] > takenBefore);
+    // A late order to the member expects the earlier number.
+    CHECK(accepted[instance_id("member")] > acceptedBefore);
 }
 
-// What can happen, by reading: a head is told to open; before it answers, a member is found silent, and the head is told to close. It
-// answers that at once: it is not open. Its group was then given up although the order to open had no answer yet: that one may come seconds
-// later, and open a head whose members have been given other places meanwhile.
-TEST_CASE("A group whose order to open is still under way is not given up before its head has left it")
+// Guards against a case found by code review: a head is ordered to open; before it answers, a member is found silent and the head is
+// ordered to close. It answers at once that it is not open. If its group is then given up although the order to open is unanswered, that
+// order may arrive seconds later and open a head whose members have joined other groups.
+TEST_CASE("A group whose order to open is pending is not given up before its head has left it")
 {
     const instant now(duration(1000000));
     auto directory = groupOfTwo();
@@ -502,8 +501,8 @@
     for (auto &[id, replica] : directory.replicas) {
         replica.membership.reset();
     }
-    const assembly_world world(1, 1, 1);
-    const std::set<instance_id> nobody;
+    const assembly_simulation simulation(1, 1, 1);
+    const std::set<instance_id> noSuspects;
     std::set<instance_id> silent;
     assembly_state state;
     state.term = 2;
@@ -511,7 +510,7 @@
     std::vector<order_kind> toHead;
     for (int i = 0; i < 60; ++i) {
         const auto when = now + duration(20) * i;
-        for (const auto &order : planAssembly(state, {directory, service_id("large"), world.engine(), silent, false, when})) {
+        for (const auto &order : planAssembly(state, {directory, service_id("large"), simulation.engine(), silent, false, when})) {
             if (order.kind == order_kind::open) {
                 open = order;
                 silent.insert(order.members.back());
@@ -524,7 +523,8 @@
                 const auto rank = std::find(order.members.begin(), order.members.end(), order.to) - order.members.begin();
                 directory.replicas.at(order.to).membership = {order.group, order.formed, static_cast<int>(rank), member_state::ready};
             }
-            noteOrderResult(state, order, {order.kind == order_kind::close ? order_result::held : order_result::taken, 0}, when);
+            recordOrderResult(
+                state, order, {order.kind == order_kind::close ? order_result::already_in_effect : order_result::accepted, 0}, when);
         }
     }
     REQUIRE(open);
@@ -532,21 +532,21 @@
     CHECK(std::find(toHead.begin(), toHead.end(), order_kind::leave) != toHead.end());
 }
 
-// What callers saw: six streams broke off. A member had been leaving for six seconds when the coordinator changed; the new one counted from
-// its own start and let the group serve on until the member ended.
-TEST_CASE("A successor counts how long a member has been leaving from when that was known")
+// Guards against aborted streams: a member has been leaving for six seconds when the coordinator changes. If the new one counts from its
+// own start, the group serves until the member ends.
+TEST_CASE("A successor counts a member's leaving time from when it was first known")
 {
     const instant now(duration(1000000));
     auto directory = groupOfTwo();
     directory.replicas.erase(instance_id("spare"));
     directory.replicas[instance_id("member")].isDraining = true;
-    const assembly_world world(1, 1, 1);
-    const std::set<instance_id> nobody;
+    const assembly_simulation simulation(1, 1, 1);
+    const std::set<instance_id> noSuspects;
     assembly_state state;
     state.term = 2;
-    directory.leavingSince[instance_id("member")] = now - state.policy.leavingStay + duration(1000);
+    directory.leavingSince[instance_id("member")] = now - state.policy.leavingMemberGrace + duration(1000);
     const auto closesAt = [&](duration after) {
-        const auto orders = planAssembly(state, {directory, service_id("large"), world.engine(), nobody, false, now + after});
+        const auto orders = planAssembly(state, {directory, service_id("large"), simulation.engine(), noSuspects, false, now + after});
         return std::any_of(orders.begin(), orders.end(), [](const replica_order &order) { return order.kind == order_kind::close; });
     };
     CHECK_FALSE(closesAt(duration(0)));
--- a/Tests/Assembly/testPlanPacing.cpp
+++ b/Tests/Assembly/testPlanPacing.cpp
@@ -5,13 +5,13 @@
 
 using namespace vetchpost;
 
-TEST_CASE("A quick plan is made again at once, a slow one leaves most of the time to its orders, and none waits for long")
+TEST_CASE("The batch delay is short after a quick plan, three times the duration of a slow one, and bounded")
 {
-    CHECK(gatherTimeAfter(duration(0)) == duration(10));
-    CHECK(gatherTimeAfter(duration(2)) == duration(10));
+    CHECK(batchDelayAfter(duration(0)) == duration(10));
+    CHECK(batchDelayAfter(duration(2)) == duration(10));
     for (const int planTime : {5, 10, 20, 30}) {
-        const auto gather = gatherTimeAfter(duration(planTime));
-        CHECK(planTime <= (gather.count() + planTime) / 4 + 1);
+        const auto delay = batchDelayAfter(duration(planTime));
+        CHECK(planTime <= (delay.count() + planTime) / 4 + 1);
     }
-    CHECK(gatherTimeAfter(duration(1000)) == duration(100));
+    CHECK(batchDelayAfter(duration(1000)) == duration(100));
 }
--- a/Tests/Assembly/testSilentReplicas.cpp
+++ b/Tests/Assembly/testSilentReplicas.cpp
@@ -26,117 +26,117 @@
 
 } // namespace
 
-TEST_CASE("A replica that did not answer is suspected until it answers, its entry goes or the suspicion is old")
+TEST_CASE("A replica that did not answer is suspected until it answers, its entry goes or the suspicion expires")
 {
     silent_replicas silent;
     auto directory = oneGroup();
-    CHECK(noteLook(silent, member, {start, false}));
-    CHECK_FALSE(noteLook(silent, member, {start + duration(100), false}));
-    CHECK(reportSilence(silent, directory, start + duration(200)).suspects == std::set{member});
+    CHECK(recordProbe(silent, member, {start, false}));
+    CHECK_FALSE(recordProbe(silent, member, {start + duration(100), false}));
+    CHECK(updateSuspicions(silent, directory, start + duration(200)).suspects == std::set{member});
 
     SECTION("it answers")
     {
-        CHECK_FALSE(noteLook(silent, member, {start + duration(300), true}));
+        CHECK_FALSE(recordProbe(silent, member, {start + duration(300), true}));
     }
     SECTION("its entry goes")
     {
         directory.replicas.erase(member);
     }
-    SECTION("the suspicion is old")
+    SECTION("the suspicion expires")
     {
-        CHECK(reportSilence(silent, directory, start + duration(10200)).suspects.empty());
+        CHECK(updateSuspicions(silent, directory, start + duration(10200)).suspects.empty());
         return;
     }
-    CHECK(reportSilence(silent, directory, start + duration(400)).suspects.empty());
+    CHECK(updateSuspicions(silent, directory, start + duration(400)).suspects.empty());
 }
 
-// A look without an answer counts late, after a check of the daemon's own link.
-TEST_CASE("Of two looks at a replica the one that began later counts, whichever ends first")
+// An unanswered probe is recorded late, after a self-check of the daemon.
+TEST_CASE("Of two probes of a replica the one that began later counts, whichever ends first")
 {
     silent_replicas silent;
     const auto directory = oneGroup();
     SECTION("the later one had an answer")
     {
-        CHECK_FALSE(noteLook(silent, member, {start + duration(400), true}));
-        CHECK_FALSE(noteLook(silent, member, {start, false}));
-        CHECK(reportSilence(silent, directory, start + duration(800)).suspects.empty());
-        CHECK(noteLook(silent, member, {start + duration(900), false}));
+        CHECK_FALSE(recordProbe(silent, member, {start + duration(400), true}));
+        CHECK_FALSE(recordProbe(silent, member, {start, false}));
+        CHECK(updateSuspicions(silent, directory, start + duration(800)).suspects.empty());
+        CHECK(recordProbe(silent, member, {start + duration(900), false}));
     }
     SECTION("the later one had none")
     {
-        CHECK(noteLook(silent, member, {start + duration(400), false}));
-        CHECK_FALSE(noteLook(silent, member, {start, true}));
-        CHECK(reportSilence(silent, directory, start + duration(800)).suspects == std::set{member});
+        CHECK(recordProbe(silent, member, {start + duration(400), false}));
+        CHECK_FALSE(recordProbe(silent, member, {start, true}));
+        CHECK(updateSuspicions(silent, directory, start + duration(800)).suspects == std::set{member});
     }
 }
 
-TEST_CASE("A silent replica has crashed only where its entry, read afterwards, said that it does not leave")
+TEST_CASE("A silent replica counts as crashed only if its entry, read afterwards, does not mark it as leaving")
 {
     silent_replicas silent;
     const auto directory = oneGroup();
-    noteLook(silent, head, {start, false});
-    CHECK(reportSilence(silent, directory, start).notLeaving.empty());
+    recordProbe(silent, head, {start, false});
+    CHECK(updateSuspicions(silent, directory, start).notLeaving.empty());
     silent.notLeaving.insert(head);
-    CHECK(reportSilence(silent, directory, start).notLeaving == std::set{head});
-    CHECK_FALSE(noteLook(silent, head, {start + duration(100), true}));
-    CHECK(reportSilence(silent, directory, start + duration(200)).notLeaving.empty());
+    CHECK(updateSuspicions(silent, directory, start).notLeaving == std::set{head});
+    CHECK_FALSE(recordProbe(silent, head, {start + duration(100), true}));
+    CHECK(updateSuspicions(silent, directory, start + duration(200)).notLeaving.empty());
 }
 
-TEST_CASE("A group's members are looked at once at a time, and suspected ones not again")
+TEST_CASE("A group's members are probed one probe at a time, and suspected ones not again")
 {
     silent_replicas silent;
     const auto directory = oneGroup();
-    CHECK(membersToLookAt(silent, directory, head, start).size() == 2);
-    CHECK(membersToLookAt(silent, directory, head, start + lookTimeout).empty());
-    noteLook(silent, member, {start + lookTimeout, false});
-    const auto again = membersToLookAt(silent, directory, head, start + lookTimeout * 2);
+    CHECK(membersToProbe(silent, directory, head, start).size() == 2);
+    CHECK(membersToProbe(silent, directory, head, start + probeTimeout).empty());
+    recordProbe(silent, member, {start + probeTimeout, false});
+    const auto again = membersToProbe(silent, directory, head, start + probeTimeout * 2);
     REQUIRE(again.size() == 1);
     CHECK(again.front().id == head);
-    CHECK(membersToLookAt(silent, directory, instance_id("i-nobody"), start).empty());
+    CHECK(membersToProbe(silent, directory, instance_id("i-nobody"), start).empty());
     CHECK(headOfGroup(directory, directory.replicas.at(member)) == head);
 }
 
-TEST_CASE("Members without an entry are looked at again and again, silent ones less often")
+TEST_CASE("Members without an entry are probed repeatedly, silent ones less often")
 {
     silent_replicas silent;
     auto directory = oneGroup();
-    CHECK(unlistedToLookAt(silent, directory, start).empty());
+    CHECK(unlistedToProbe(silent, directory, start).empty());
     directory.replicas.at(member).isUnlisted = true;
-    CHECK(unlistedToLookAt(silent, directory, start).size() == 1);
-    CHECK(unlistedToLookAt(silent, directory, start + duration(500)).empty());
-    CHECK(unlistedToLookAt(silent, directory, start + duration(900)).size() == 1);
-    noteLook(silent, member, {start + duration(1000), false});
-    CHECK(unlistedToLookAt(silent, directory, start + duration(2000)).empty());
-    CHECK(unlistedToLookAt(silent, directory, start + duration(5000)).size() == 1);
+    CHECK(unlistedToProbe(silent, directory, start).size() == 1);
+    CHECK(unlistedToProbe(silent, directory, start + duration(500)).empty());
+    CHECK(unlistedToProbe(silent, directory, start + duration(900)).size() == 1);
+    recordProbe(silent, member, {start + duration(1000), false});
+    CHECK(unlistedToProbe(silent, directory, start + duration(2000)).empty());
+    CHECK(unlistedToProbe(silent, directory, start + duration(5000)).size() == 1);
 }
 
-// A replica that has crashed cannot say any more that it leaves. One that was found silent by mistake, and begins to leave then, stops
-// listening while it still finishes requests: taking that silence for its death put its members into a second group.
-TEST_CASE("A silent replica whose entry says afterwards that it leaves has not crashed")
+// A crashed replica cannot report that it is leaving. One that was wrongly found silent and then begins to leave stops listening while it
+// still finishes requests; if it were considered dead, its members would be ordered into a second group.
+TEST_CASE("A silent replica whose entry afterwards marks it as leaving has not crashed")
 {
     silent_replicas silent;
     auto directory = oneGroup();
-    noteLook(silent, head, {start, false});
+    recordProbe(silent, head, {start, false});
     silent.notLeaving.insert(head);
     directory.replicas.at(head).isDraining = true;
-    const auto report = reportSilence(silent, directory, start + duration(2100));
+    const auto report = updateSuspicions(silent, directory, start + duration(2100));
     CHECK(report.suspects == std::set{head});
     CHECK(report.notLeaving.empty());
 }
 
-TEST_CASE("A silent replica whose entry goes without a word that it leaves has crashed")
+TEST_CASE("A silent replica whose entry vanishes without marking it as leaving has crashed")
 {
     silent_replicas silent;
     auto directory = oneGroup();
-    noteLook(silent, head, {start, false});
+    recordProbe(silent, head, {start, false});
     silent.notLeaving.insert(head);
     directory.replicas.at(head).isDraining = true;
     directory.replicas.at(head).isUnlisted = true;
-    CHECK(reportSilence(silent, directory, start + duration(2100)).notLeaving == std::set{head});
+    CHECK(updateSuspicions(silent, directory, start + duration(2100)).notLeaving == std::set{head});
 }
 
-// A hundred replicas that are cut off from the key-value service at once must not keep the coordinator busy with looks.
-TEST_CASE("Of many members without an entry a few are looked at at a time, and each gets its turn")
+// If a hundred replicas are cut off from the key-value service at once, probing them must not use up the coordinator's processor.
+TEST_CASE("Of many members without an entry a few are probed at a time, and all of them in turn")
 {
     silent_replicas silent;
     replica_directory directory;
@@ -145,15 +145,15 @@
         replica.isUnlisted = true;
         directory.replicas.emplace(replica.id, replica);
     }
-    std::set<instance_id> seen;
-    std::size_t most = 0;
+    std::set<instance_id> allProbed;
+    std::size_t maxProbed = 0;
     for (duration passed{}; passed < duration(3000); passed += duration(50)) {
-        const auto looked = unlistedToLookAt(silent, directory, start + passed);
-        most = std::max(most, looked.size());
-        for (const auto &replica : looked) {
-            seen.insert(replica.id);
+        const auto probed = unlistedToProbe(silent, directory, start + passed);
+        maxProbed = std::max(maxProbed, probed.size());
+        for (const auto &replica : probed) {
+            allProbed.insert(replica.id);
         }
     }
-    CHECK(most <= 8);
-    CHECK(seen.size() == 100);
+    CHECK(maxProbed <= 8);
+    CHECK(allProbed.size() == 100);
 }
--- a/Tests/Entry/testAssemblyMetrics.cpp
+++ b/Tests/Entry/testAssemblyMetrics.cpp
@@ -10,9 +10,9 @@
 const instant start = instant(duration(1000000));
 const service_id service("large");
 
-model_standing standing(int wanted, int serving)
+model_group_counts standing(int wanted, int serving)
 {
-    model_standing result;
+    model_group_counts result;
     result.model = model_id("m");
     result.wanted = wanted;
     result.serving = serving;
--- a/Tests/Entry/testReplicaEntries.cpp
+++ b/Tests/Entry/testReplicaEntries.cpp
@@ -39,7 +39,7 @@
     updateLeaving(leaving, {{id, {}}}, now + duration(500));
     auto directory = entries.directory;
     markLeaving(directory, leaving);
-    CHECK(saysItLeaves(directory.replicas.at(id)));
+    CHECK(reportsDraining(directory.replicas.at(id)));
     CHECK(directory.leavingSince.at(id) == now);
     CHECK_FALSE(directory.replicas.at(instance_id("b")).isDraining);
 
@@ -182,14 +182,14 @@
     applyChange(entries, member, now);
     for (int removals = 0; removals < 2; ++removals) {
         applyChange(entries, removal("a", 3), now);
-        CHECK_FALSE(entries.directory.replicas.at(instance_id("a")).hasAnnounced);
+        CHECK_FALSE(entries.directory.replicas.at(instance_id("a")).hadReportedDraining);
     }
     member.revision = 4;
     member.replica->isDraining = true;
     applyChange(entries, member, now);
     CHECK_FALSE(entries.directory.replicas.at(instance_id("a")).isUnlisted);
     applyChange(entries, removal("a", 5), now);
-    CHECK(entries.directory.replicas.at(instance_id("a")).hasAnnounced);
+    CHECK(entries.directory.replicas.at(instance_id("a")).hadReportedDraining);
 }
 
 TEST_CASE("The model that a replica ran last stays known when it leaves its group")
--- a/Tests/PlatformAdapter/testPlatformDialect.cpp
+++ b/Tests/PlatformAdapter/testPlatformDialect.cpp
@@ -205,13 +205,13 @@
     order.kind = order_kind::stage;
     CHECK(bodyOf(dialect.orderCall(order))["Model"].asString() == "m1");
     CHECK(has(dialect.orderCall(order).headers, "Expect-Instance", "i-1"));
-    CHECK(dialect.readOrderAnswer(order, {202, {}, {}}).result == order_result::taken);
-    CHECK(dialect.readOrderAnswer(order, {200, {}, {}}).result == order_result::held);
+    CHECK(dialect.readOrderAnswer(order, {202, {}, {}}).result == order_result::accepted);
+    CHECK(dialect.readOrderAnswer(order, {200, {}, {}}).result == order_result::already_in_effect);
     CHECK(dialect.readOrderAnswer(order, {409, {}, {}}).result == order_result::conflict);
     CHECK(dialect.readOrderAnswer(order, {412, {}, {}}).result == order_result::refused);
     CHECK(dialect.readOrderAnswer(order, {421, {}, {}}).result == order_result::gone);
     CHECK(dialect.readOrderAnswer(order, {503, {}, {}}).result == order_result::unknown);
-    order.kind = order_kind::look;
+    order.kind = order_kind::probe;
     CHECK(dialect.orderCall(order).target == "/report");
     CHECK(has(dialect.orderCall(order).headers, "Expect-Instance", "i-1"));
     // Another replica at the address of one that has ended.
@@ -219,8 +219,8 @@
     CHECK_FALSE(dialect.isLivenessAnswer({421, {}, {}}));
     CHECK(dialect.isLivenessAnswer({503, {}, {}}));
     const auto looked = dialect.readOrderAnswer(order, {200, {}, R"({"Phase":"combined","Seq":5})"});
-    CHECK(looked.result == order_result::taken);
-    CHECK(looked.ordersTaken == 5);
+    CHECK(looked.result == order_result::accepted);
+    CHECK(looked.acceptedOrders == 5);
     CHECK(dialect.readOrderAnswer(order, {503, {}, {}}).result == order_result::unknown);
 }
 
@@ -311,11 +311,11 @@
     const auto text = entryWith("born", Json::UInt64(1764720000123));
     CHECK(dialect.readReplica(instance_id("i-1"), text, why)->life == replica_life(1764720000123));
     replica_order look;
-    look.kind = order_kind::look;
+    look.kind = order_kind::probe;
     http_reply reply;
     reply.status = 200;
     reply.body = R"({"Seq":3,"born":1764720000123})";
     const auto answer = dialect.readOrderAnswer(look, reply);
-    CHECK(answer.ordersTaken == 3);
+    CHECK(answer.acceptedOrders == 3);
     CHECK(answer.life == replica_life(1764720000123));
 }
--- a/Tests/Routing/testReplicaDirectory.cpp
+++ b/Tests/Routing/testReplicaDirectory.cpp
@@ -29,43 +29,43 @@
 
 } // namespace
 
-TEST_CASE("A group takes requests with an open head and all its members")
+TEST_CASE("A group with an open head and all its members accepts requests")
 {
     const auto directory = openGroup();
     const auto groups = groupsOf(directory, service);
     REQUIRE(groups.size() == 1);
     CHECK(groups.front().model == model_id("big"));
-    CHECK(takesRequests(groups.front(), 2));
-    CHECK_FALSE(takesRequests(groups.front(), 4));
+    CHECK(acceptsRequests(groups.front(), 2));
+    CHECK_FALSE(acceptsRequests(groups.front(), 4));
 }
 
-TEST_CASE("A group takes none once a member is gone, its head leaves, or a member stands in another formation")
+TEST_CASE("A group accepts no requests once a member is gone, its head is leaving, or a member is in another formation")
 {
     auto gone = openGroup();
     gone.replicas.erase(instance_id("second"));
-    CHECK_FALSE(takesRequests(groupsOf(gone, service).front(), 2));
+    CHECK_FALSE(acceptsRequests(groupsOf(gone, service).front(), 2));
 
     auto leaving = openGroup();
     leaving.replicas[instance_id("second")].isDraining = true;
-    // A leaving member stays while the head has work; a leaving head must get nothing new.
-    CHECK(takesRequests(groupsOf(leaving, service).front(), 2));
+    // A leaving member stays while the head has work; a leaving head must get no new requests.
+    CHECK(acceptsRequests(groupsOf(leaving, service).front(), 2));
     leaving.replicas[instance_id("head")].isDraining = true;
-    CHECK_FALSE(takesRequests(groupsOf(leaving, service).front(), 2));
+    CHECK_FALSE(acceptsRequests(groupsOf(leaving, service).front(), 2));
 
     auto elsewhere = openGroup();
     elsewhere.replicas[instance_id("second")].membership->formed = formation(4);
     const auto groups = groupsOf(elsewhere, service);
     REQUIRE(groups.size() == 1);
     CHECK(groups.front().formed == formation(4));
-    CHECK_FALSE(takesRequests(groups.front(), 2));
+    CHECK_FALSE(acceptsRequests(groups.front(), 2));
 }
 
-TEST_CASE("A head that is not open, and a broken rank, take none")
+TEST_CASE("A group accepts no requests if its head is not open or its rank is invalid")
 {
     for (const auto state : {member_state::joining, member_state::ready, member_state::closing, member_state::broken}) {
         auto directory = openGroup();
         directory.replicas[instance_id("head")].membership->state = state;
-        CHECK_FALSE(takesRequests(groupsOf(directory, service).front(), 2));
+        CHECK_FALSE(acceptsRequests(groupsOf(directory, service).front(), 2));
     }
     replica_directory directory;
     add(directory, "odd", {group_id("g"), formation(1), -1, member_state::open});
--- a/Tests/Routing/testRouteTable.cpp
+++ b/Tests/Routing/testRouteTable.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-TEST_CASE("The longest prefix of the host's routes is taken")
+TEST_CASE("The host's route with the longest matching prefix is chosen")
 {
     const auto table = makeTable();
     CHECK(routeName(table, "a.example", "/x/y/z") == "long");
@@ -49,14 +49,14 @@
     CHECK(routeName(table, "c.example", "/anything") == "root");
 }
 
-TEST_CASE("Hosts are compared without case and without a port")
+TEST_CASE("Hosts are compared case-insensitively and without a port")
 {
     const auto table = makeTable();
     CHECK(routeName(table, "A.EXAMPLE:8080", "/x/1") == "short");
     CHECK(routeName(table, "b.example", "/x/1") == "other");
 }
 
-TEST_CASE("A key leads to its organisation, and an unknown one to none")
+TEST_CASE("A known key yields its organisation, an unknown one nullptr")
 {
     const auto table = makeTable();
     REQUIRE(table.findOrganisation("key-2") != nullptr);
@@ -68,13 +68,13 @@
     CHECK(table.findService(service_id("nothing")) == nullptr);
 }
 
-TEST_CASE("Services share a route's requests by their weights")
+TEST_CASE("A route's requests are distributed over its services by their weights")
 {
     route split;
     split.services = {{service_id("a"), 90}, {service_id("b"), 10}, {service_id("c"), 0}};
     std::map<std::string, int> counts;
-    for (std::uint64_t draw = 0; draw < 1000; ++draw) {
-        ++counts[chooseService(split, draw)->value()];
+    for (std::uint64_t randomValue = 0; randomValue < 1000; ++randomValue) {
+        ++counts[chooseService(split, randomValue)->value()];
     }
     CHECK(counts["a"] == 900);
     CHECK(counts["b"] == 100);
