--- a/Libraries/Entry/assembly_runner.cpp
+++ b/Libraries/Entry/assembly_runner.cpp
@@ -9,8 +9,8 @@
 #include "Libraries/Base/worker_pool.h"
 #include "Libraries/Entry/assembly_metrics.h"
 #include "Libraries/Entry/group_status_log.h"
-#include "Libraries/Entry/notice_pacing.h"
 #include "Libraries/Entry/replica_prober.h"
+#include "Libraries/Entry/stall_report_limit.h"
 #include "Libraries/Http/http_client.h"
 
 #include <fmt/format.h>
@@ -401,7 +401,7 @@
     bool mayReportStall(const instance_id &head)
     {
         const std::lock_guard lock(mutex);
-        return mayNotice(lastReports, head, monotonicNow());
+        return admitStallReport(lastReports, head, monotonicNow());
     }
 
     /// Probes the group's members as the coordinator, else sends a report to the coordinator.
--- a/Libraries/Entry/crash_guard.cpp
+++ b/Libraries/Entry/crash_guard.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "Libraries/Entry/crash_guard.h"
 
-#include "Libraries/Entry/crash_record.h"
+#include "Libraries/Entry/crash_refusal_store.h"
 #include "Libraries/Entry/pending_losses.h"
 
 namespace vetchpost {
@@ -11,9 +11,9 @@
     const store_follower &store;
     peer_feed &feed;
     shared_suspects &suspects;
-    replica_end_check endCheck;
+    replica_liveness_check livenessCheck;
     pending_losses pending;
-    crash_record record;
+    crash_refusal_store refusalStore;
 
     private_data(key_value_service &keyValue,
                  const entry_dialect &dialect,
@@ -23,27 +23,28 @@
         : store(follower)
         , feed(peers)
         , suspects(shared)
-        , endCheck(dialect)
-        , pending(endCheck, [this](const pending_loss &loss) { recordReplicaEnd(loss); })
-        , record(keyValue,
-                 {[&peers] { return peers.isSource(); },
-                  [&peers] { return peers.isSourceActive(); },
-                  [&shared](const std::vector<suspect_report> &kept) { shared.mergePersisted(kept); },
-                  [&shared] { return shared.refused(); }})
+        , livenessCheck(dialect)
+        , pending(livenessCheck, [this](const pending_loss &loss) { recordTermination(loss); })
+        , refusalStore(keyValue,
+                       {[&peers] { return peers.isSource(); },
+                        [&peers] { return peers.isSourceActive(); },
+                        [&shared](const std::vector<suspect_report> &kept) { shared.mergePersisted(kept); },
+                        [&shared] { return shared.refused(); }})
     {
     }
 
-    void recordReplicaEnd(const pending_loss &loss)
+    /// Records that a replica terminated while it had the request, unless the replica had announced that it leaves.
+    void recordTermination(const pending_loss &loss)
     {
         const auto &replica = loss.target.replica;
-        if (!hasSaidItLeaves(replica)) {
+        if (!hasAnnouncedLeaving(replica)) {
             suspects.recordReplicaEnd(loss.request, loss.organisation, replicaEndOf(replica.value(), loss.target.life.value()));
             feed.syncTables();
         }
     }
 
-    /// One that had said that it leaves has ended as planned, whatever it ran.
-    bool hasSaidItLeaves(const instance_id &replica) const
+    /// Whether the replica had announced that it leaves. Such a replica has ended as planned, whatever it was running.
+    bool hasAnnouncedLeaving(const instance_id &replica) const
     {
         const auto directory = store.directory();
         const auto known = directory->replicas.find(replica);
@@ -61,19 +62,19 @@
 
 void crash_guard::start()
 {
-    d->record.start();
+    d->refusalStore.start();
     d->pending.start();
 }
 
 void crash_guard::stop()
 {
-    d->record.stop();
+    d->refusalStore.stop();
     d->pending.stop();
 }
 
 std::optional<request_identity> crash_guard::identify(const identifying_parts &parts) const
 {
-    const auto key = d->record.key();
+    const auto key = d->refusalStore.key();
     return key ? std::optional(identityOf(*key, parts)) : std::nullopt;
 }
 
@@ -87,21 +88,21 @@
     return request ? d->suspects.refusedFor(*request) : std::nullopt;
 }
 
-// The request waits for the finding, so that its next try knows of this end: the third one must not become a fourth. A port that refuses
-// answers within a round trip.
-replica_end_finding
-crash_guard::noteLoss(const std::optional<request_identity> &request, const organisation_id &organisation, const backend &target)
+// The request waits for the result, so that its next attempt takes this termination into account: a request that has ended
+// endsForRefusal replicas must not end another one. A port without a process refuses connections within a round trip.
+replica_liveness
+crash_guard::recordLoss(const std::optional<request_identity> &request, const organisation_id &organisation, const backend &target)
 {
-    const auto found = d->endCheck.ask(target);
-    if (request && found == replica_end_finding::has_ended) {
-        d->recordReplicaEnd({*request, organisation, target});
-    } else if (request && found == replica_end_finding::unknown) {
+    const auto liveness = d->livenessCheck.probe(target);
+    if (request && liveness == replica_liveness::terminated) {
+        d->recordTermination({*request, organisation, target});
+    } else if (request && liveness == replica_liveness::unknown) {
         d->pending.add({*request, organisation, target});
     }
-    return found;
+    return liveness;
 }
 
-void crash_guard::noteAnswered(const std::optional<request_identity> &request)
+void crash_guard::recordAnswered(const std::optional<request_identity> &request)
 {
     if (request) {
         d->suspects.recordCompletion(*request);
--- a/Libraries/Entry/crash_guard.h
+++ b/Libraries/Entry/crash_guard.h
@@ -4,7 +4,7 @@
 #include "Libraries/Entry/entry_dialect.h"
 #include "Libraries/Entry/entry_view.h"
 #include "Libraries/Entry/peer_feed.h"
-#include "Libraries/Entry/replica_end_check.h"
+#include "Libraries/Entry/replica_liveness_check.h"
 #include "Libraries/Entry/shared_suspects.h"
 #include "Libraries/Entry/store_follower.h"
 #include "Libraries/Requests/request_identity.h"
@@ -13,8 +13,8 @@
 
 namespace vetchpost {
 
-/// Keeps requests that end every replica which runs them from the replicas: knows them again under other ids, finds out which lost tries
-/// ended with their replica, and tells all daemons. Safe to use from several threads.
+/// Protects replicas from requests that crash every replica which runs them: identifies such requests under different request ids, finds
+/// out which lost attempts coincided with the end of their replica, and shares the result with all daemons. Thread-safe.
 class crash_guard
 {
 public:
@@ -27,16 +27,17 @@
     void start();
     void stop();
 
-    /// Nothing while the key to digest with is not known.
+    /// The identity of a request; empty while the digest key is unknown.
     std::optional<request_identity> identify(const identifying_parts &parts) const;
-    /// Whether a request's identity matters now.
+    /// Whether any request is suspected of crashing replicas. If not, identities need not be computed.
     bool hasSuspects() const;
-    /// How long a request is still refused; nothing where it is not.
+    /// The time for which a request will still be refused; empty if it is not refused.
     std::optional<duration> refusedFor(const std::optional<request_identity> &request) const;
-    /// A try of the request at this place was lost: finds out whether the replica has ended, and notes it.
-    replica_end_finding
-    noteLoss(const std::optional<request_identity> &request, const organisation_id &organisation, const backend &target);
-    void noteAnswered(const std::optional<request_identity> &request);
+    /// Handles an attempt that was lost at a replica: checks whether the replica has terminated, and if so records that against the
+    /// request. Returns the result of the check.
+    replica_liveness recordLoss(const std::optional<request_identity> &request, const organisation_id &organisation, const backend &target);
+    /// Records that the request was answered, so that it is no longer suspected.
+    void recordAnswered(const std::optional<request_identity> &request);
 
 private:
     struct private_data;
--- a/Libraries/Entry/crash_interface.cpp
+++ b/Libraries/Entry/crash_interface.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-Json::Value shown(const suspect_report &evidence)
+/// A refused request as operators see it.
+Json::Value encodeRefusal(const suspect_report &evidence)
 {
     Json::Value json;
     json["identity"] = evidence.request.value();
@@ -30,7 +31,7 @@
     if (exchange.method() == "GET") {
         json["refused"] = Json::Value(Json::arrayValue);
         for (const auto &evidence : suspects.refused()) {
-            json["refused"].append(shown(evidence));
+            json["refused"].append(encodeRefusal(evidence));
         }
     } else if (exchange.method() == "POST") {
         status = suspects.allow(request_identity(exchange.queryParameter("allow"))) ? done : notFound;
--- a/Libraries/Entry/crash_interface.h
+++ b/Libraries/Entry/crash_interface.h
@@ -6,10 +6,11 @@
 
 namespace vetchpost {
 
-/// Where operators see which requests are refused because replicas ended under them, and allow one again:
-/// GET, and POST with the parameter "allow".
+/// The operators' HTTP resource for requests that are refused because replicas have crashed running them. GET lists them; POST with the
+/// query parameter "allow" allows the request with this identity again.
 constexpr auto crashingRequestsPath = "/crashing-requests";
 
+/// Answers a request for crashingRequestsPath.
 void answerCrashingRequests(http_exchange &exchange, shared_suspects &suspects);
 
 } // namespace vetchpost
--- a/Libraries/Entry/entry_daemon.cpp
+++ b/Libraries/Entry/entry_daemon.cpp
@@ -6,7 +6,7 @@
 #include "Libraries/Entry/assembly_runner.h"
 #include "Libraries/Entry/crash_interface.h"
 #include "Libraries/Entry/daemon_metrics.h"
-#include "Libraries/Entry/request_run.h"
+#include "Libraries/Entry/request_handler.h"
 #include "Libraries/Platform/measured_store.h"
 #include "Libraries/Platform/paced_service.h"
 #include "Libraries/Routing/key_revocation_policy.h"
@@ -120,9 +120,9 @@
               suspects,
               constraints,
               counters,
-              [this] { return relay.held.counts(); },
+              [this] { return relay.inFlight.counts(); },
               [this](const stall_report &report) { assembly.handleStallReport(report); },
-              [this](const group_stall_warning &warning) { relay.doubt(warning.head); })
+              [this](const group_stall_warning &warning) { relay.applyStallWarning(warning.head); })
         , assembly(
               settings,
               *keyValue,
@@ -130,7 +130,7 @@
               store,
               feed,
               counters,
-              [this] { return relay.held.counts(); },
+              [this] { return relay.inFlight.counts(); },
               [this](const instance_id &replica, const http_reply &reply) { recordReplyConstraints(replica, reply); })
         , crashes(*keyValue, *dialect, store, feed, suspects)
         , relay(settings,
@@ -181,7 +181,7 @@
     {
         store.recordTraffic();
         feed.recordTraffic();
-        request_run(relay, exchange).serve();
+        request_handler(relay, exchange).serve();
     }
 
     daemon_status currentStatus() const
@@ -243,7 +243,7 @@
     d->crashes.stop();
     d->feed.stop();
     d->store.stop();
-    // The log's thread calls the relay's callRoll(), so it stops before the relay is destroyed.
+    // The log's thread calls the relay's logRequestIds(), so it stops before the relay is destroyed.
     stopEventLog();
 }
 
@@ -251,7 +251,7 @@
 {
     setEventLogDaemon(d->settings.daemon.value());
     setEventLogOn(d->settings.isLogOn);
-    startEventLog([this] { d->relay.callRoll(); });
+    startEventLog([this] { d->relay.logRequestIds(); });
     daemonLog.write("started",
                     {{"version", programVersion},
                      {"settings", d->settings.digest},
--- a/Libraries/Entry/entry_dialect.h
+++ b/Libraries/Entry/entry_dialect.h
@@ -15,47 +15,48 @@
 
 namespace vetchpost {
 
-/// What a client's request says beside method, path and body.
+/// The header fields of a client's request that the daemon interprets.
 struct client_request_head
 {
-    request_id attempt;
-    /// How long the client waits; nothing where it does not say.
+    request_id requestId;
+    /// How long the client waits for its answer; empty if the request does not state it.
     std::optional<duration> patience;
-    /// Empty where there is none.
+    /// The API key; empty if the request has none.
     std::string key;
     model_id model;
-    /// The client has received the stream up to this event; empty for a new stream.
+    /// The id of the last event that the client has received of a stream to be resumed; empty for a new stream.
     std::string lastEvent;
 };
 
-/// What a daemon adds to a request for a replica.
+/// What a daemon adds to the header of a request that it sends to a replica.
 struct replica_request_head
 {
-    /// The one start of the one replica that may take it.
+    /// The only replica that may accept the request.
     instance_id replica;
     duration timeLeft{};
     /// Empty on routes without keys.
     organisation_id organisation;
-    /// Resume after this event; empty for a new stream.
+    /// The id of the event after which the stream resumes; empty for a new stream.
     std::string lastEvent;
-    /// 0 is the most urgent.
+    /// 0 is the highest priority; empty if none is sent.
     std::optional<int> priority;
 };
 
-/// What a replica's answer says of itself.
+/// The header fields of a replica's answer that the daemon interprets.
 struct replica_answer_head
 {
-    request_id attempt;
-    /// A replica of the service made this answer.
-    bool isSigned = false;
-    /// The replica says that it did not run the request.
+    request_id requestId;
+    /// The answer carries the stamp that only a replica of the service adds.
+    bool hasServerStamp = false;
+    /// The replica reports that it did not run the request.
     bool hasNotRun = false;
 };
 
-/// Called with a replica's answer to a call of the daemon's own, on any thread.
+/// Called on any thread with a replica's answer to a request that the daemon sent on its own behalf.
 using answer_listener = std::function<void(const instance_id &, const http_reply &)>;
 
-/// The names and formats in which an entry daemon's surroundings speak. Decides nothing.
+/// Translates between the types of the entry daemon and the names and formats of the platform: headers, stored entries and orders. Makes no
+/// decisions.
 class entry_dialect
 {
 public:
@@ -64,28 +65,28 @@
     entry_dialect(const entry_dialect &) = delete;
     entry_dialect &operator=(const entry_dialect &) = delete;
 
-    /// The key that holds the whole configuration.
+    /// The key under which the whole configuration is stored.
     virtual std::string configurationKey() const = 0;
-    /// The prefix of the replicas' entries; the rest of a key is the replica's id.
+    /// The key prefix of the replicas' entries; the rest of a key is the replica's id.
     virtual std::string replicaPrefix() const = 0;
     virtual std::optional<served_configuration> readConfiguration(const std::string &text, reason &lastReason) const = 0;
     virtual std::optional<served_replica> readReplica(const instance_id &id, const std::string &text, reason &lastReason) const = 0;
 
     virtual client_request_head readRequest(const std::vector<http_header> &headers) const = 0;
-    /// The headers of a request for a replica: the client's, without those of one connection, and the daemon's own.
+    /// The headers of a request to a replica: the client's headers without the hop-by-hop ones, and those that the daemon adds.
     virtual std::vector<http_header> replicaHeaders(const std::vector<http_header> &clientHeaders,
                                                     const replica_request_head &head) const = 0;
     virtual replica_answer_head readAnswer(int status, const std::vector<http_header> &headers) const = 0;
-    /// What an answer of any kind says of the work that the replica can take.
+    /// The rate limit, backoff and departure that an answer of any status announces for its replica.
     virtual replica_notice readNotice(int status, const std::vector<http_header> &headers) const = 0;
-    /// The headers of a replica's answer that go on to the client.
+    /// The headers of a replica's answer that are relayed to the client.
     virtual std::vector<http_header> clientHeaders(const std::vector<http_header> &replicaHeaders) const = 0;
-    /// The headers that an answer of the daemon's own carries.
-    virtual std::vector<http_header> ownHeaders(const client_request_head &head) const = 0;
+    /// The headers of an answer that the daemon generates itself.
+    virtual std::vector<http_header> daemonHeaders(const client_request_head &head) const = 0;
 
     virtual http_call orderCall(const replica_order &order) const = 0;
     virtual order_answer readOrderAnswer(const replica_order &order, const http_reply &reply) const = 0;
-    /// A call to which a live replica answers at once, and another one at its address that it is not meant.
+    /// A liveness probe. A live replica answers it at once; a different replica at the same address answers that the probe is not for it.
     virtual http_call livenessCall(const instance_id &replica, const endpoint &address) const = 0;
     virtual bool isLivenessAnswer(const http_reply &reply) const = 0;
 };
--- a/Libraries/Entry/event_splitter.cpp
+++ b/Libraries/Entry/event_splitter.cpp
@@ -7,7 +7,7 @@
 
 constexpr std::string_view idField = "id:";
 
-/// The end of the first whole event in the text, after its blank line; npos where there is none.
+/// The position after the blank line that ends the first complete event; npos if there is no complete event.
 std::size_t eventEnd(std::string_view text)
 {
     std::size_t lineStart = 0;
@@ -26,13 +26,13 @@
 
 } // namespace
 
-int event_splitter::take(std::string_view bytes, std::string &events)
+int event_splitter::extractEvents(std::string_view bytes, std::string &events)
 {
     m_partial.append(bytes);
     std::string_view rest = m_partial;
     int count = 0;
     for (auto end = eventEnd(rest); end != std::string_view::npos; end = eventEnd(rest)) {
-        noteId(rest.substr(0, end));
+        updateLastId(rest.substr(0, end));
         events.append(rest.substr(0, end));
         rest.remove_prefix(end);
         ++count;
@@ -51,12 +51,12 @@
     return !m_partial.empty();
 }
 
-void event_splitter::dropPartial()
+void event_splitter::discardPartial()
 {
     m_partial.clear();
 }
 
-void event_splitter::noteId(std::string_view event)
+void event_splitter::updateLastId(std::string_view event)
 {
     for (std::size_t start = 0; start < event.size();) {
         auto end = event.find('\n', start);
--- a/Libraries/Entry/event_splitter.h
+++ b/Libraries/Entry/event_splitter.h
@@ -6,21 +6,21 @@
 
 namespace vetchpost {
 
-/// Cuts a stream of server-sent events into whole events, so that an unfinished one is never passed on.
+/// Splits a stream of server-sent events into complete events, so that an incomplete one is never relayed.
 class event_splitter
 {
 public:
-    /// Appends received bytes and moves all whole events to the end of \a events, unchanged. Returns how many there were.
-    int take(std::string_view bytes, std::string &events);
-    /// The id of the last whole event; empty before the first that has one.
+    /// Buffers the received bytes and appends all complete events, unchanged, to \a events. Returns the number of events appended.
+    int extractEvents(std::string_view bytes, std::string &events);
+    /// The id of the last complete event that has one; empty if there is none yet.
     const std::string &lastId() const;
-    /// Whether an unfinished event is waiting for its rest.
+    /// Whether the beginning of an incomplete event is buffered.
     bool hasPartial() const;
-    /// Forgets the unfinished event: what follows comes from another replica.
-    void dropPartial();
+    /// Discards a buffered incomplete event. Needed when the stream continues from another replica.
+    void discardPartial();
 
 private:
-    void noteId(std::string_view event);
+    void updateLastId(std::string_view event);
 
     std::string m_partial;
     std::string m_lastId;
--- a/Libraries/Entry/held_requests.cpp
+++ b/Libraries/Entry/in_flight_requests.cpp
@@ -1,21 +1,21 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Libraries/Entry/held_requests.h"
+#include "Libraries/Entry/in_flight_requests.h"
 
 namespace vetchpost {
 
-void held_requests::begin(const service_id &service, const model_id &model)
+void in_flight_requests::add(const service_id &service, const model_id &model)
 {
     const std::lock_guard lock(m_mutex);
     ++m_counts[{service, model}];
 }
 
-void held_requests::end(const service_id &service, const model_id &model)
+void in_flight_requests::remove(const service_id &service, const model_id &model)
 {
     const std::lock_guard lock(m_mutex);
     --m_counts[{service, model}];
 }
 
-std::vector<model_demand> held_requests::counts() const
+std::vector<model_demand> in_flight_requests::counts() const
 {
     const std::lock_guard lock(m_mutex);
     std::vector<model_demand> result;
--- a/Libraries/Entry/held_requests.h
+++ b/Libraries/Entry/in_flight_requests.h
@@ -9,12 +9,12 @@
 
 namespace vetchpost {
 
-/// Counts the requests for each model that this daemon holds. Safe to use from several threads.
-class held_requests
+/// Counts the requests that this daemon has in flight, by service and model. Thread-safe.
+class in_flight_requests
 {
 public:
-    void begin(const service_id &service, const model_id &model);
-    void end(const service_id &service, const model_id &model);
+    void add(const service_id &service, const model_id &model);
+    void remove(const service_id &service, const model_id &model);
     std::vector<model_demand> counts() const;
 
 private:
--- a/Libraries/Entry/model_shedding.h
+++ b/Libraries/Entry/model_shedding.h
@@ -9,13 +9,15 @@
 
 namespace vetchpost {
 
-/// The shedding of each model's requests. Safe to use from several threads.
+/// Load shedding for each model of each service. Thread-safe.
 class model_shedding
 {
 public:
+    /// Whether a request for the model is admitted. \a draw is a random number that selects which requests are shed.
     bool isAdmitted(const service_id &service, const model_id &model, std::uint64_t draw, instant now) const;
-    /// Whether few first events of the model are late.
+    /// Whether only few of the model's recent first events were late.
     bool hasSpareCapacity(const service_id &service, const model_id &model) const;
+    /// Records the first event of a stream; \a isLate: it exceeded the route's objective.
     void recordFirstEvent(const service_id &service, const model_id &model, bool isLate, instant now);
 
 private:
--- a/Libraries/Entry/peer_feed.cpp
+++ b/Libraries/Entry/peer_feed.cpp
@@ -3,7 +3,7 @@
 
 #include "Libraries/Base/event_log.h"
 #include "Libraries/Entry/feed_socket.h"
-#include "Libraries/Entry/notice_pacing.h"
+#include "Libraries/Entry/stall_report_limit.h"
 #include "Libraries/Feed/feed_follower.h"
 #include "Libraries/Feed/feed_relays.h"
 #include "Libraries/Feed/feed_role.h"
@@ -275,7 +275,7 @@
     bool mayForwardReport(const instance_id &head)
     {
         const std::lock_guard lock(mutex);
-        return mayNotice(lastForwards, head, monotonicNow());
+        return admitStallReport(lastForwards, head, monotonicNow());
     }
 
     /// Returns false if no source is known.
--- a/Libraries/Entry/pending_losses.cpp
+++ b/Libraries/Entry/pending_losses.cpp
@@ -28,7 +28,7 @@
         instant since;
     };
 
-    replica_end_check &check;
+    replica_liveness_check &check;
     const std::function<void(const pending_loss &)> didEnd;
     std::mutex mutex;
     std::condition_variable wake;
@@ -36,7 +36,7 @@
     std::deque<entry> entries;
     std::thread thread;
 
-    private_data(replica_end_check &endCheck, std::function<void(const pending_loss &)> endListener)
+    private_data(replica_liveness_check &endCheck, std::function<void(const pending_loss &)> endListener)
         : check(endCheck)
         , didEnd(std::move(endListener))
     {
@@ -65,16 +65,16 @@
     {
         const auto now = monotonicNow();
         std::erase_if(unresolved, [&](const entry &next) {
-            const auto found = check.ask(next.loss.target);
-            if (found == replica_end_finding::has_ended) {
+            const auto found = check.probe(next.loss.target);
+            if (found == replica_liveness::terminated) {
                 didEnd(next.loss);
             }
-            return found != replica_end_finding::unknown || now - next.since >= checkTimeout;
+            return found != replica_liveness::unknown || now - next.since >= checkTimeout;
         });
     }
 };
 
-pending_losses::pending_losses(replica_end_check &check, std::function<void(const pending_loss &)> didEnd)
+pending_losses::pending_losses(replica_liveness_check &check, std::function<void(const pending_loss &)> didEnd)
     : d(std::make_unique<private_data>(check, std::move(didEnd)))
 {
 }
--- a/Libraries/Entry/pending_losses.h
+++ b/Libraries/Entry/pending_losses.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #pragma once
 
-#include "Libraries/Entry/replica_end_check.h"
+#include "Libraries/Entry/replica_liveness_check.h"
 #include "Libraries/Requests/request_identity.h"
 
 #include <functional>
@@ -22,7 +22,7 @@
 {
 public:
     /// \a didEnd is called on that thread for each request whose replica has ended.
-    pending_losses(replica_end_check &check, std::function<void(const pending_loss &)> didEnd);
+    pending_losses(replica_liveness_check &check, std::function<void(const pending_loss &)> didEnd);
     ~pending_losses();
     pending_losses(const pending_losses &) = delete;
     pending_losses &operator=(const pending_losses &) = delete;
--- a/Libraries/Entry/relay_context.cpp
+++ b/Libraries/Entry/relay_context.cpp
@@ -2,7 +2,7 @@
 #include "Libraries/Entry/relay_context.h"
 
 #include "Libraries/Base/event_log.h"
-#include "Libraries/Entry/try_end.h"
+#include "Libraries/Entry/attempt_outcome.h"
 
 #include <thread>
 
@@ -11,38 +11,39 @@
 namespace {
 
 constexpr event_log requestLog("request");
-/// Only in the first moments of a process.
+/// How often a request checks for a new view. Requests only wait for one shortly after the daemon's start.
 constexpr duration viewPollPeriod(5);
 
-std::vector<counter> tryCounters(metrics &counters)
+/// A counter for each attempt_outcome.
+std::vector<counter> countersByOutcome(metrics &counters)
 {
-    std::vector<counter> tries;
-    for (std::size_t end = 0; end < static_cast<std::size_t>(try_end::count); ++end) {
-        tries.push_back(counters.addCounter("vetchpost_tries_total",
-                                            "Tries at one replica, by how they ended.",
-                                            {{"end", std::string(tryEndName(static_cast<try_end>(end)))}}));
+    std::vector<counter> result;
+    for (std::size_t outcome = 0; outcome < static_cast<std::size_t>(attempt_outcome::count); ++outcome) {
+        result.push_back(counters.addCounter("vetchpost_tries_total",
+                                             "Tries at one replica, by how they ended.",
+                                             {{"end", std::string(attemptOutcomeName(static_cast<attempt_outcome>(outcome)))}}));
     }
-    return tries;
+    return result;
 }
 
 } // namespace
 
 relay_context::relay_context(const entry_settings &settings,
-                             const entry_dialect &words,
+                             const entry_dialect &entryDialect,
                              const store_follower &store,
                              peer_feed &feed,
                              const entry_view_snapshot &view,
                              crash_guard &crashGuard,
                              shared_constraints &replicaConstraints,
                              metrics &allCounters,
-                             std::function<void(const instance_id &)> tellStall)
-    : dialect(words)
+                             std::function<void(const instance_id &)> stallReporter)
+    : dialect(entryDialect)
     , crashes(crashGuard)
     , constraints(replicaConstraints)
     , counters(allCounters)
-    , noteStall(std::move(tellStall))
-    , ends(allCounters)
-    , tries(tryCounters(allCounters))
+    , reportStall(std::move(stallReporter))
+    , requestMetrics(allCounters)
+    , attemptCounters(countersByOutcome(allCounters))
     , served(allCounters.addCounter("vetchpost_requests_served_total", "Requests whose whole answer was passed on."))
     , resumed(allCounters.addCounter("vetchpost_streams_resumed_total", "Streams that another replica went on with."))
     , retried(allCounters.addCounter("vetchpost_requests_retried_total", "Requests that were sent to a second replica."))
@@ -68,18 +69,18 @@
     return {m_settings.keyRevocation, m_settings.isKeyRevocationStrict};
 }
 
-bool relay_context::mustSendElsewhere(instant now) const
+bool relay_context::shouldCloseConnections(instant now) const
 {
     return vetchpost::mustSendElsewhere(keyBound(), m_store.configurationKnowledge(), now);
 }
 
 bool relay_context::awaitView(instant until, const std::function<bool(const entry_view &)> &isEnough) const
 {
-    const auto hasCome = [&] {
+    const auto isSatisfied = [&] {
         const auto view = currentView();
         return view && isEnough(*view);
     };
-    while (!hasCome()) {
+    while (!isSatisfied()) {
         if (!m_store.isServiceAnswering() || monotonicNow() >= until) {
             return false;
         }
@@ -88,7 +89,7 @@
     return true;
 }
 
-refusal_scope relay_context::reachWithoutListing() const
+refusal_scope relay_context::scopeWithoutListing() const
 {
     return m_store.isServiceAnswering() ? refusal_scope::starting : refusal_scope::all_daemons;
 }
@@ -100,20 +101,20 @@
         known.currentAt.has_value(), m_store.isServiceAnswering(), isConfigurationStale(known, now));
 }
 
-void relay_context::noteNotice(const backend &place, const replica_notice &notice, const request_id &request)
+void relay_context::applyNotice(const backend &target, const replica_notice &notice, const request_id &request)
 {
-    if (constraints.applyNotice({place.replica, place.life}, notice, request)) {
+    if (constraints.applyNotice({target.replica, target.life}, notice, request)) {
         m_feed.syncTables();
     }
 }
 
-bool relay_context::wantPermit(const std::vector<backend> &candidates, const std::vector<instance_id> &tried, std::uint64_t draw)
+bool relay_context::requestAnyPermit(const std::vector<backend> &candidates, const std::vector<instance_id> &tried, std::uint64_t draw)
 {
-    const auto question = constraints.nextPermitRequest(candidates, tried, draw);
-    return !question || m_feed.requestPermit(*question);
+    const auto permitRequest = constraints.nextPermitRequest(candidates, tried, draw);
+    return !permitRequest || m_feed.requestPermit(*permitRequest);
 }
 
-void relay_context::doubt(const instance_id &head) const
+void relay_context::applyStallWarning(const instance_id &head) const
 {
     const auto view = currentView();
     if (!view) {
@@ -130,7 +131,7 @@
     }
 }
 
-/// The mutex is held.
+/// The retry budget of a service, adjusted to the current number of daemons. The caller holds m_budgetMutex.
 retry_budget &relay_context::budgetOf(const service_id &service)
 {
     const retry_limit bound{m_settings.retryShare, m_settings.retrySlack};
@@ -159,11 +160,11 @@
     return vetchpost::priorWait(known, patience);
 }
 
-void relay_context::callRoll()
+void relay_context::logRequestIds()
 {
-    const auto lines = roll.take();
-    if (!lines.isEmpty()) {
-        requestLog.writeKept("roll", {{"arrived", lines.arrived}, {"served", lines.served}, {"left_out", lines.leftOut}});
+    const auto lists = requestIds.drain();
+    if (!lists.isEmpty()) {
+        requestLog.writeKept("roll", {{"arrived", lists.arrived}, {"served", lists.served}, {"left_out", lists.leftOut}});
     }
 }
 
@@ -173,7 +174,7 @@
     vetchpost::recordFirstAttempt(budgetOf(service));
 }
 
-bool relay_context::takeRepeat(const service_id &service)
+bool relay_context::consumeRetry(const service_id &service)
 {
     const std::lock_guard lock(m_budgetMutex);
     return spendRetry(budgetOf(service));
--- a/Libraries/Entry/relay_context.h
+++ b/Libraries/Entry/relay_context.h
@@ -6,11 +6,11 @@
 #include "Libraries/Entry/crash_guard.h"
 #include "Libraries/Entry/entry_dialect.h"
 #include "Libraries/Entry/entry_view.h"
-#include "Libraries/Entry/held_requests.h"
+#include "Libraries/Entry/in_flight_requests.h"
 #include "Libraries/Entry/model_shedding.h"
 #include "Libraries/Entry/peer_feed.h"
+#include "Libraries/Entry/request_id_batch.h"
 #include "Libraries/Entry/request_outcome.h"
-#include "Libraries/Entry/request_roll.h"
 #include "Libraries/Entry/shared_constraints.h"
 #include "Libraries/Entry/store_follower.h"
 #include "Libraries/Requests/client_patience.h"
@@ -28,7 +28,7 @@
 
 using entry_view_snapshot = rcu_snapshot<std::shared_ptr<const entry_view>>;
 
-/// What the requests of one daemon share.
+/// The state that all requests of a daemon share.
 class relay_context
 {
 public:
@@ -40,60 +40,66 @@
                   crash_guard &crashes,
                   shared_constraints &constraints,
                   metrics &counters,
-                  std::function<void(const instance_id &)> noteStall);
+                  std::function<void(const instance_id &)> reportStall);
 
-    /// The newest view; nullptr before the first.
+    /// The newest view; nullptr before the first one exists.
     std::shared_ptr<const entry_view> currentView() const;
-    /// Whether the keys at hand are new enough to be trusted.
+    /// Whether the API keys of the configuration are recent enough to be trusted.
     bool areKeysCurrent(instant now) const;
 
-    /// Whether connections had better end with the answer at hand.
-    bool mustSendElsewhere(instant now) const;
-    /// Takes in what a replica's answer says of the work that it can take, and tells others of it.
-    void noteNotice(const backend &place, const replica_notice &notice, const request_id &request);
-    /// Asks for a permit for one of the places that have named a limit; false where nobody can be asked, or has just refused one.
-    bool wantPermit(const std::vector<backend> &candidates, const std::vector<instance_id> &tried, std::uint64_t draw);
+    /// Whether connections should be closed after the current answer, so that clients scope another daemon.
+    bool shouldCloseConnections(instant now) const;
+    /// Applies the limits that a replica's answer announces, and sends them to other daemons where these need them.
+    void applyNotice(const backend &target, const replica_notice &notice, const request_id &request);
+    /// Requests a permit for one of the replicas with a rate limit. Returns false if a permit is due but no daemon is known that issues
+    /// them.
+    bool requestAnyPermit(const std::vector<backend> &candidates, const std::vector<instance_id> &tried, std::uint64_t draw);
 
-    /// Waits for a view with enough in it, not beyond \a until, as long as the key-value service seems to answer. Whether it is there.
+    /// Waits until the view satisfies \a isEnough, at most until \a until and only while the key-value service seems to answer. Returns
+    /// whether the view satisfies it.
     bool awaitView(instant until, const std::function<bool(const entry_view &)> &isEnough) const;
-    /// Who else has not listed the replicas yet.
-    refusal_scope reachWithoutListing() const;
-    /// Who else lacks a configuration that is known to be the newest.
+    /// Which daemons are likely to lack the list of replicas as well.
+    refusal_scope scopeWithoutListing() const;
+    /// Which daemons are likely to lack a configuration that is known to be current as well.
     refusal_scope scopeOfStaleConfiguration(instant now) const;
 
-    /// A group is likely to stand still: nothing new goes there for a while, and what waits there goes elsewhere.
-    void doubt(const instance_id &head) const;
+    /// Applies the coordinator's warning that the group with this head has probably stalled: the group is avoided for a while, and requests
+    /// that wait there may be retried elsewhere.
+    void applyStallWarning(const instance_id &head) const;
 
-    /// The number of the next choice among places.
-    std::uint64_t nextTurn()
+    /// The sequence number of the next choice among replicas.
+    std::uint64_t nextSequenceNumber()
     {
-        return ++m_turns;
+        return ++m_sequenceNumber;
     }
 
+    /// Adds the share of a new request to this daemon's part of the service's retry budget.
     void recordFirstAttempt(const service_id &service);
-    /// Takes one repeat out of this daemon's part of the budget; false where it is used up.
-    bool takeRepeat(const service_id &service);
+    /// Consumes one retry of this daemon's part of the service's retry budget. Returns false if it is exhausted.
+    bool consumeRetry(const service_id &service);
 
-    /// How long a client of a route has waited before it sent a request that leaves \a patience.
+    /// An estimate of how long a client has already waited in earlier attempts, from the waiting time \a patience that this request has
+    /// left and that of other requests on the same route.
     duration priorWait(const std::string &route, duration patience, instant now);
 
-    /// Logs the ids of the requests that have no lines of their own.
-    void callRoll();
+    /// Logs the collected ids of requests without log lines of their own.
+    void logRequestIds();
 
     const entry_dialect &dialect;
     crash_guard &crashes;
     shared_constraints &constraints;
     metrics &counters;
-    const std::function<void(const instance_id &)> noteStall;
-    /// Connections end after the answer at hand.
+    /// Reports that the group with this head seems to have stalled.
+    const std::function<void(const instance_id &)> reportStall;
+    /// The daemon is stopping: connections are closed after their current answer.
     std::atomic<bool> isDraining = false;
-    held_requests held;
+    in_flight_requests inFlight;
     model_shedding shedding;
-    /// Requests that have no lines of their own.
-    request_roll roll;
-    const request_metrics ends;
-    /// By try_end.
-    const std::vector<counter> tries;
+    /// Requests without log lines of their own.
+    request_id_batch requestIds;
+    const request_metrics requestMetrics;
+    /// Indexed by attempt_outcome.
+    const std::vector<counter> attemptCounters;
     counter served;
     counter resumed;
     counter retried;
@@ -106,11 +112,11 @@
     const store_follower &m_store;
     peer_feed &m_feed;
     const entry_view_snapshot &m_view;
-    std::atomic<std::uint64_t> m_turns = 0;
+    std::atomic<std::uint64_t> m_sequenceNumber = 0;
     std::mutex m_budgetMutex;
     std::map<service_id, retry_budget> m_budgets;
     std::mutex m_patienceMutex;
-    /// By route.
+    /// By the route's name.
     std::map<std::string, client_patience> m_patience;
 };
 
--- /dev/null
+++ b/Libraries/Entry/replica_liveness_check.cpp
@@ -0,0 +1,84 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "Libraries/Entry/replica_liveness_check.h"
+
+#include "Libraries/Http/http_client.h"
+#include "Libraries/Http/port_probe.h"
+
+#include <array>
+
+namespace vetchpost {
+
+namespace {
+
+/// A port without a process refuses connections within a round trip. A replica that does not answer delays a lost request by no more than
+/// this.
+constexpr duration probeTimeout(100);
+/// The result of a probe is valid for all requests that the replica loses within this time.
+constexpr duration resultLifetime(500);
+/// An inconclusive probe is repeated sooner.
+constexpr duration unknownLifetime(150);
+constexpr std::array<std::string_view, 3> livenessNames = {"ended", "there", "unknown"};
+
+} // namespace
+
+std::string_view replicaLivenessName(replica_liveness liveness)
+{
+    return livenessNames.at(static_cast<std::size_t>(liveness));
+}
+
+replica_liveness_check::replica_liveness_check(const entry_dialect &dialect)
+    : m_dialect(dialect)
+{
+}
+
+/// Probes the port, then the process. A connection also breaks off because of a broken link, a lost answer or corrupt data, but a
+/// terminated process refuses new connections, often within 30 ms of the first lost attempt.
+replica_liveness replica_liveness_check::probeNow(const backend &target) const
+{
+    const auto port = probePort(target.address, probeTimeout);
+    if (port != port_answer::accepts) {
+        return port == port_answer::refuses ? replica_liveness::terminated : replica_liveness::unknown;
+    }
+    auto call = m_dialect.livenessCall(target.replica, target.address);
+    call.connectTimeout = probeTimeout;
+    call.receiveTimeout = probeTimeout;
+    reason ignored;
+    const auto reply = sendOnFreshConnection(call, ignored);
+    if (!reply) {
+        return replica_liveness::unknown;
+    }
+    replica_order order;
+    order.kind = order_kind::probe;
+    order.to = target.replica;
+    const auto answer = m_dialect.readOrderAnswer(order, *reply);
+    const bool isReplaced = answer.result == order_result::gone;
+    const bool hasIncarnation = answer.result == order_result::accepted && answer.life != replica_life();
+    const bool isRestarted = hasIncarnation && isAnotherIncarnation(answer.life, target.life);
+    return isReplaced || isRestarted ? replica_liveness::terminated : replica_liveness::alive;
+}
+
+replica_liveness replica_liveness_check::probe(const backend &target)
+{
+    std::shared_ptr<shared_probe> shared;
+    {
+        const std::lock_guard lock(m_mutex);
+        const auto now = monotonicNow();
+        std::erase_if(m_probes, [&](const auto &entry) {
+            return entry.second.use_count() == 1 && entry.second->probedAt && now - *entry.second->probedAt >= resultLifetime;
+        });
+        auto &known = m_probes[{target.replica, target.life}];
+        if (!known) {
+            known = std::make_shared<shared_probe>();
+        }
+        shared = known;
+    }
+    const std::lock_guard lock(shared->mutex);
+    const auto lifetime = shared->result == replica_liveness::unknown ? unknownLifetime : resultLifetime;
+    if (!shared->probedAt || monotonicNow() - *shared->probedAt >= lifetime) {
+        shared->result = probeNow(target);
+        shared->probedAt = monotonicNow();
+    }
+    return shared->result;
+}
+
+} // namespace vetchpost
--- a/Libraries/Entry/request_answer.cpp
+++ b/Libraries/Entry/request_answer.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The part of request_run that waits for one replica's answer and passes it on.
-#include "Libraries/Entry/request_run.h"
+// The part of request_handler that waits for one replica's answer and relays it.
+#include "Libraries/Entry/request_handler.h"
 
 #include <algorithm>
 
@@ -8,39 +8,41 @@
 
 namespace {
 
-/// A stream whose replica sends nothing for so long stands still: ten times the usual pause, under half of the two seconds after which
-/// clients give a stream up.
+/// A stream has stalled when its replica sends nothing for this time: ten times the usual pause, and under half of the two seconds after
+/// which clients give up a stream.
 constexpr duration stallPause(700);
-/// After a pause of so long the coordinator is asked to look at the group: four times the usual pause of a full group.
-constexpr duration lookPause(250);
-/// A first event takes at least so long before its group is looked at; twice the route's objective where that is more.
-constexpr duration leastFirstEventPatience(900);
+/// After a pause of this length the coordinator is asked to probe the group: four times the usual pause of a fully loaded group.
+constexpr duration stallReportPause(250);
+/// A stream waits for its first event for this time, or for twice the route's objective if that is longer, before it may be retried
+/// elsewhere.
+constexpr duration minimumFirstEventTimeout(900);
 constexpr int objectivesUntilFirstEvent = 2;
-/// An idempotent call is tried elsewhere once it is late, but not before this.
-constexpr duration leastRetryPatience(200);
-/// How often a request that waits looks whether its place was told to stand still.
-constexpr duration doubtLookPeriod(120);
-/// Plain answers are held until they are whole; no service answers with more.
+/// An idempotent request is retried elsewhere once it exceeds its route's objective, but not before this time.
+constexpr duration minimumRetryTimeout(200);
+/// How often a waiting request checks for a stall warning about its replica's group.
+constexpr duration stallWarningCheckPeriod(120);
+/// Plain answers are buffered until they are complete; no service sends larger ones.
 constexpr std::size_t maximumAnswerBytes = 16U << 20U;
 constexpr int firstServerError = 500;
 
-try_end endOf(upstream_wait wait)
+/// The outcome of an attempt whose wait for data ended with \a wait.
+attempt_outcome outcomeOf(upstream_wait wait)
 {
     switch (wait) {
     case upstream_wait::caller_left:
-        return try_end::caller_left;
+        return attempt_outcome::caller_left;
     case upstream_wait::timeout:
-        return try_end::timed_out;
+        return attempt_outcome::timed_out;
     case upstream_wait::lost:
     case upstream_wait::data:
     case upstream_wait::end:
         break;
     }
-    return try_end::lost;
+    return attempt_outcome::lost;
 }
 
-/// Why a wait ended without what was waited for.
-std::string_view whyOf(upstream_wait wait, std::string_view whenLost)
+/// Why a wait ended without data, for the log; \a whenLost if the connection was lost.
+std::string_view reasonOf(upstream_wait wait, std::string_view whenLost)
 {
     switch (wait) {
     case upstream_wait::caller_left:
@@ -57,82 +59,87 @@
 
 } // namespace
 
-try_end request_run::awaitHead(http_upstream &upstream, const backend &target)
+/// Waits for the head of the replica's answer and relays the answer. Gives the attempt up if the replica is silent for too long and the
+/// request may be retried elsewhere, or if the attempt must be withdrawn.
+attempt_outcome request_handler::awaitAnswer(http_upstream &upstream, const backend &target)
 {
     for (;;) {
         const bool mayMove = m_attempts < m_route->maximumAttempts && m_route->mayRunAgain();
-        const auto patience = firstAnswerPatience();
+        const auto answerDeadline = firstAnswerDeadline();
         auto wait = upstream_wait::timeout;
         do {
-            const auto until = isStream() ? std::min(patience, monotonicNow() + doubtLookPeriod) : patience;
+            const auto until = isStream() ? std::min(answerDeadline, monotonicNow() + stallWarningCheckPeriod) : answerDeadline;
             wait = upstream.waitForAnswer(std::min(m_deadline, until), m_exchange.socketDescriptor());
-        } while (wait == upstream_wait::timeout && monotonicNow() < std::min(m_deadline, patience) && !isDoubted(target)
+        } while (wait == upstream_wait::timeout && monotonicNow() < std::min(m_deadline, answerDeadline) && !hasStallWarning(target)
                  && !mustWithdraw());
         if (wait == upstream_wait::data) {
-            return passAnswer(upstream, target);
+            return relayAnswer(upstream, target);
         }
         if (wait != upstream_wait::timeout || monotonicNow() >= m_deadline) {
-            m_lastWhy = whyOf(wait, "the connection broke off before an answer");
-            return endOf(wait);
+            m_lastReason = reasonOf(wait, "the connection broke off before an answer");
+            return outcomeOf(wait);
         }
         if (mustWithdraw()) {
-            m_lastWhy = "replicas have ended under the same request elsewhere";
-            return try_end::withdrawn;
+            m_lastReason = "replicas have ended elsewhere while running the same request";
+            return attempt_outcome::withdrawn;
         }
-        const bool isSilent = mayMove && (!isStream() || isStandingStill(target));
-        if ((mayMove && isDoubted(target)) || (isSilent && takeRepeatElsewhere())) {
-            m_lastWhy = "the replica is silent";
-            return try_end::silent;
+        const bool isSilent = mayMove && (!isStream() || isStalled(target));
+        if ((mayMove && hasStallWarning(target)) || (isSilent && reserveRetry())) {
+            m_lastReason = "the replica is silent";
+            return attempt_outcome::silent;
         }
-        // Others make progress there, or nobody else may take it: it is waited for to the end.
-        const bool mustLookAgain = mayMove || isStream();
-        const auto next = upstream.waitForAnswer(mustLookAgain ? std::min(m_deadline, monotonicNow() + stallPause) : m_deadline,
+        // Other requests make progress at the replica, or no other replica can take this one: the wait goes on.
+        const bool mustCheckAgain = mayMove || isStream();
+        const auto next = upstream.waitForAnswer(mustCheckAgain ? std::min(m_deadline, monotonicNow() + stallPause) : m_deadline,
                                                  m_exchange.socketDescriptor());
         if (next == upstream_wait::data) {
-            return passAnswer(upstream, target);
+            return relayAnswer(upstream, target);
         }
         if (next == upstream_wait::caller_left || monotonicNow() >= m_deadline) {
-            m_lastWhy = whyOf(next, "the connection broke off before an answer");
-            return endOf(next);
+            m_lastReason = reasonOf(next, "the connection broke off before an answer");
+            return outcomeOf(next);
         }
     }
 }
 
-try_end request_run::passAnswer(http_upstream &upstream, const backend &target)
+/// Reads the head of the replica's answer, checks that it belongs to this request, and relays the answer.
+attempt_outcome request_handler::relayAnswer(http_upstream &upstream, const backend &target)
 {
     reason why;
     const auto head = upstream.readHead(why);
     if (!head) {
-        m_lastWhy = why.text;
-        return try_end::lost;
+        m_lastReason = why.text;
+        return attempt_outcome::lost;
     }
     const auto answer = m_context.dialect.readAnswer(head->status, head->headers);
-    if (answer.attempt != m_head.attempt) {
-        m_lastWhy = "the answer is to another request: " + answer.attempt.value();
-        return try_end::lost;
+    if (answer.requestId != m_head.requestId) {
+        m_lastReason = "the answer is to another request: " + answer.requestId.value();
+        return attempt_outcome::lost;
     }
-    m_context.noteNotice(target, m_context.dialect.readNotice(head->status, head->headers), m_head.attempt);
+    m_context.applyNotice(target, m_context.dialect.readNotice(head->status, head->headers), m_head.requestId);
     if (answer.hasNotRun) {
-        m_lastWhy = "the replica did not run it: status " + std::to_string(head->status);
-        return try_end::not_run;
+        m_lastReason = "the replica did not run it: status " + std::to_string(head->status);
+        return attempt_outcome::not_run;
     }
-    if (isSuccessStatus(head->status) && !answer.isSigned) {
-        m_lastWhy = "a success without the replica's signature";
-        return try_end::lost;
+    if (isSuccessStatus(head->status) && !answer.hasServerStamp) {
+        m_lastReason = "a success status without the replica's stamp";
+        return attempt_outcome::lost;
     }
     if (isStream() && isSuccessStatus(head->status)) {
-        return passEvents(upstream, *head, target);
+        return relayEvents(upstream, *head, target);
     }
-    const auto end = passWhole(upstream, *head);
-    if (end == try_end::answered) {
-        noteProgress(target);
+    const auto outcome = relayBuffered(upstream, *head);
+    if (outcome == attempt_outcome::answered) {
+        recordProgress(target);
     }
-    return end;
+    return outcome;
 }
 
-try_end request_run::passWhole(http_upstream &upstream, const upstream_head &head)
+/// Reads a plain answer completely before anything is sent to the client. Keeps a server error in m_failure instead of sending it if the
+/// request may be retried.
+attempt_outcome request_handler::relayBuffered(http_upstream &upstream, const upstream_head &head)
 {
-    whole_answer answer{head, {}};
+    buffered_answer answer{head, {}};
     std::string piece;
     for (;;) {
         const auto wait = upstream.nextPiece(piece, m_deadline, m_exchange.socketDescriptor());
@@ -141,69 +148,72 @@
         }
         answer.body += piece;
         if (wait != upstream_wait::data || answer.body.size() > maximumAnswerBytes) {
-            m_lastWhy = whyOf(wait, "the answer did not come whole");
-            return endOf(wait);
+            m_lastReason = reasonOf(wait, "the answer is incomplete");
+            return outcomeOf(wait);
         }
     }
-    const bool mayDoBetter = head.status >= firstServerError && m_route->mayRunAgain();
-    if (mayDoBetter) {
-        m_lastWhy = "the replica failed: status " + std::to_string(head.status);
+    const bool mayRetryFailure = head.status >= firstServerError && m_route->mayRunAgain();
+    if (mayRetryFailure) {
+        m_lastReason = "the replica failed: status " + std::to_string(head.status);
         m_failure = std::move(answer);
-        return try_end::failed;
+        return attempt_outcome::failed;
     }
-    return sendWhole(answer) ? try_end::answered : try_end::caller_left;
+    return sendBuffered(answer) ? attempt_outcome::answered : attempt_outcome::caller_left;
 }
 
-try_end request_run::passEvents(http_upstream &upstream, const upstream_head &head, const backend &target)
+/// Relays the complete events of a stream as they arrive. Gives the attempt up if the stream stalls and another replica can resume it.
+attempt_outcome request_handler::relayEvents(http_upstream &upstream, const upstream_head &head, const backend &target)
 {
-    m_events.dropPartial();
+    m_events.discardPartial();
     std::string piece;
     for (;;) {
         const auto pauseStart = monotonicNow();
-        auto wait = upstream.nextPiece(piece, std::min(m_deadline, pauseStart + lookPause), m_exchange.socketDescriptor());
+        auto wait = upstream.nextPiece(piece, std::min(m_deadline, pauseStart + stallReportPause), m_exchange.socketDescriptor());
         if (wait == upstream_wait::timeout && monotonicNow() < m_deadline) {
-            m_context.noteStall(target.replica);
-            while (wait == upstream_wait::timeout && monotonicNow() < std::min(m_deadline, pauseStart + stallPause) && !isDoubted(target)) {
-                const auto until = std::min(pauseStart + stallPause, monotonicNow() + doubtLookPeriod);
+            m_context.reportStall(target.replica);
+            while (wait == upstream_wait::timeout && monotonicNow() < std::min(m_deadline, pauseStart + stallPause)
+                   && !hasStallWarning(target)) {
+                const auto until = std::min(pauseStart + stallPause, monotonicNow() + stallWarningCheckPeriod);
                 wait = upstream.nextPiece(piece, std::min(m_deadline, until), m_exchange.socketDescriptor());
             }
         }
         if (wait == upstream_wait::data) {
-            noteProgress(target);
-            if (!passPiece(piece, head)) {
-                return try_end::caller_left;
+            recordProgress(target);
+            if (!relayPiece(piece, head)) {
+                return attempt_outcome::caller_left;
             }
         } else if (wait == upstream_wait::end && !m_events.hasPartial()) {
             beginStream(head);
             m_context.served.increment();
-            return try_end::answered;
+            return attempt_outcome::answered;
         } else if (wait == upstream_wait::timeout && monotonicNow() < m_deadline) {
             const bool mayMove = m_route->isResumable && m_attempts < m_route->maximumAttempts;
-            if (mayMove && (isDoubted(target) || isStandingStill(target)) && takeRepeatElsewhere()) {
-                m_lastWhy = "the stream stands still";
-                return try_end::silent;
+            if (mayMove && (hasStallWarning(target) || isStalled(target)) && reserveRetry()) {
+                m_lastReason = "the stream has stalled";
+                return attempt_outcome::silent;
             }
         } else {
-            m_lastWhy = whyOf(wait, "the stream broke off");
-            return endOf(wait);
+            m_lastReason = reasonOf(wait, "the stream broke off");
+            return outcomeOf(wait);
         }
     }
 }
 
-/// False once the caller has gone.
-bool request_run::passPiece(const std::string &piece, const upstream_head &head)
+/// Relays the complete events of a received piece. Returns false if the client has closed the connection.
+bool request_handler::relayPiece(const std::string &piece, const upstream_head &head)
 {
     std::string events;
-    m_events.take(piece, events);
+    m_events.extractEvents(piece, events);
     if (events.empty()) {
         return true;
     }
     beginStream(head);
-    noteSent();
+    recordSent();
     return m_exchange.write(events);
 }
 
-void request_run::noteSent()
+/// Records that a part of the answer is being sent to the client now.
+void request_handler::recordSent()
 {
     const auto now = monotonicNow();
     if (m_lastSent) {
@@ -216,8 +226,9 @@
     m_lastSent = now;
 }
 
-/// The first replica's head is the answer's; a replica that goes on with the stream adds events alone.
-void request_run::beginStream(const upstream_head &head)
+/// Sends the head of a stream to the client unless one has been sent. The first replica's head is used; a replica that resumes the stream
+/// only adds events.
+void request_handler::beginStream(const upstream_head &head)
 {
     if (m_hasBegun) {
         return;
@@ -227,11 +238,12 @@
     m_exchange.beginAnswer(head.status, head.reasonPhrase, m_context.dialect.clientHeaders(head.headers), std::nullopt);
 }
 
-bool request_run::sendWhole(const whole_answer &answer)
+/// Sends a complete answer to the client. Returns false if the client has closed the connection.
+bool request_handler::sendBuffered(const buffered_answer &answer)
 {
     m_hasBegun = true;
     m_status = answer.head.status;
-    noteSent();
+    recordSent();
     m_exchange.beginAnswer(
         answer.head.status, answer.head.reasonPhrase, m_context.dialect.clientHeaders(answer.head.headers), answer.body.size());
     const bool isSent = m_exchange.write(answer.body);
@@ -241,26 +253,28 @@
     return isSent;
 }
 
-bool request_run::isStandingStill(const backend &target) const
+/// Whether no request of this daemon has made progress at the replica for stallPause.
+bool request_handler::isStalled(const backend &target) const
 {
     return monotonicNow().time_since_epoch().count() - target.load->lastProgress.load() >= stallPause.count();
 }
 
-/// Whether the coordinator has told, since this request was sent there and since anything came from there, that the place is likely to
-/// stand still.
-bool request_run::isDoubted(const backend &target) const
+/// Whether the coordinator has warned that the replica's group has probably stalled, after this attempt began and after the replica last
+/// sent anything to this daemon.
+bool request_handler::hasStallWarning(const backend &target) const
 {
-    const auto since = std::max<std::int64_t>(m_tryStart.time_since_epoch().count(), target.load->lastProgress.load());
+    const auto since = std::max<std::int64_t>(m_attemptStart.time_since_epoch().count(), target.load->lastProgress.load());
     return target.load->stallWarnedAt.load() >= since;
 }
 
-instant request_run::firstAnswerPatience() const
+/// The time until which the replica's answer is awaited before a retry elsewhere is considered.
+instant request_handler::firstAnswerDeadline() const
 {
     const auto objective = m_route->objective;
     if (isStream()) {
-        return m_tryStart + std::max(leastFirstEventPatience, objective * objectivesUntilFirstEvent);
+        return m_attemptStart + std::max(minimumFirstEventTimeout, objective * objectivesUntilFirstEvent);
     }
-    return m_route->mayRunAgain() ? m_tryStart + std::max(leastRetryPatience, objective) : m_deadline;
+    return m_route->mayRunAgain() ? m_attemptStart + std::max(minimumRetryTimeout, objective) : m_deadline;
 }
 
 } // namespace vetchpost
--- a/Libraries/Entry/request_finish.cpp
+++ b/Libraries/Entry/request_finish.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
-// The part of request_run that gives the client its last answer and tells the log how the request ended.
+// The part of request_handler that sends the final answer to the client and records how the request ended.
 #include "Libraries/Base/event_log.h"
-#include "Libraries/Entry/draw_number.h"
-#include "Libraries/Entry/request_run.h"
+#include "Libraries/Entry/random_number.h"
+#include "Libraries/Entry/request_handler.h"
 
 #include <array>
 
@@ -12,177 +12,186 @@
 
 constexpr event_log requestLog("request");
 
-constexpr std::array<std::string_view, static_cast<std::size_t>(try_end::count)> tryEndNames
+constexpr std::array<std::string_view, static_cast<std::size_t>(attempt_outcome::count)> attemptOutcomeNames
     = {"answered", "not_sent", "not_run", "lost", "silent", "failed", "caller_left", "timed_out", "withdrawn"};
 
 } // namespace
 
-std::string_view tryEndName(try_end end)
+std::string_view attemptOutcomeName(attempt_outcome outcome)
 {
-    return tryEndNames.at(static_cast<std::size_t>(end));
+    return attemptOutcomeNames.at(static_cast<std::size_t>(outcome));
 }
 
-/// Gives the client its final answer at once, where it has none yet.
-void request_run::finish(try_end end)
+/// Logs how the request ended, and sends the client an error if it has no answer yet. An answer that has begun and cannot be completed is
+/// aborted.
+void request_handler::finish(attempt_outcome outcome)
 {
-    if (end == try_end::answered || end == try_end::caller_left) {
-        tellAnswered(end);
+    if (outcome == attempt_outcome::answered || outcome == attempt_outcome::caller_left) {
+        logAnswered(outcome);
         return;
     }
     if (m_hasBegun) {
-        tellEnd(request_outcome::broken_off);
+        recordResult(request_outcome::broken_off);
         requestLog.writeKept("broken_off",
-                             {{"request", m_head.attempt.value()},
+                             {{"request", m_head.requestId.value()},
                               {"route", m_route->name},
-                              {"end", tryEndName(end)},
-                              {"why", m_lastWhy},
-                              {"no_repeat", m_noRepeatWhy},
+                              {"end", attemptOutcomeName(outcome)},
+                              {"why", m_lastReason},
+                              {"no_repeat", m_noRetryReason},
                               {"tries", m_attempts},
-                              {"replica", m_tried.empty() ? "" : m_tried.back().value()},
-                              {"held_ms", held().count()},
-                              {"first_ms", firstEvent().value_or(duration(-1)).count()},
+                              {"replica", m_triedReplicas.empty() ? "" : m_triedReplicas.back().value()},
+                              {"held_ms", elapsed().count()},
+                              {"first_ms", timeToFirstEvent().value_or(duration(-1)).count()},
                               {"pause_ms", m_longestPause.count()},
                               {"last_event", m_events.lastId()}});
         m_exchange.abort();
         return;
     }
     if (m_failure) {
-        sendWhole(*m_failure);
-        tellEnd(request_outcome::failed);
+        sendBuffered(*m_failure);
+        recordResult(request_outcome::failed);
         requestLog.writeKept("failure_passed_on",
-                             {{"request", m_head.attempt.value()},
+                             {{"request", m_head.requestId.value()},
                               {"route", m_route->name},
                               {"status", m_failure->head.status},
-                              {"no_repeat", m_noRepeatWhy},
+                              {"no_repeat", m_noRetryReason},
                               {"tries", m_attempts},
-                              {"held_ms", held().count()}});
+                              {"held_ms", elapsed().count()}});
         return;
     }
     if (m_mayHaveRun && !m_route->mayRunAgain()) {
-        refuse(end == try_end::timed_out ? error_kind::deadline_exceeded : error_kind::backend_lost,
-               "the replica's answer did not come whole");
-    } else if (m_mayHaveRun && end == try_end::timed_out) {
+        refuse(outcome == attempt_outcome::timed_out ? error_kind::deadline_exceeded : error_kind::backend_lost,
+               "the replica's answer was incomplete");
+    } else if (m_mayHaveRun && outcome == attempt_outcome::timed_out) {
         refuse(error_kind::deadline_exceeded, "no answer in time");
     } else if (m_mayHaveRun) {
-        refuse(error_kind::backend_lost, "no replica gave a whole answer");
-    } else if (end == try_end::not_run) {
-        refuseForWantOfPlace(error_kind::backend_refused, "the replicas take no more requests", refusal_scope::full_slots);
+        refuse(error_kind::backend_lost, "no replica gave a complete answer");
+    } else if (outcome == attempt_outcome::not_run) {
+        refuseForLackOfReplicas(error_kind::backend_refused, "the replicas accept no more requests", refusal_scope::full_slots);
     } else {
-        refuseForWantOfPlace(error_kind::no_serving_group, "no place takes requests", refusal_scope::whole_model);
+        refuseForLackOfReplicas(error_kind::no_serving_group, "no replica accepts requests", refusal_scope::whole_model);
     }
 }
 
-/// Where all places are shut by their replicas' own word, the client is told when the first of them opens.
-void request_run::refuseForWantOfPlace(error_kind kind, const std::string &text, refusal_scope reach)
+/// Refuses the request because no replica accepts it. If all replicas have announced limits or backoffs, the client is asked to retry when
+/// the first of these ends.
+void request_handler::refuseForLackOfReplicas(error_kind kind, const std::string &text, refusal_scope scope)
 {
     const auto newest = m_context.currentView();
     const auto &candidates = newest->backends(*m_service, m_head.model);
-    m_closed = m_context.constraints.blockedBackends(candidates, {});
-    const bool isAnyOpen = m_closed.replicas.size() < candidates.size();
-    const auto opensAfter = m_closed.unblockedAt && !isAnyOpen ? std::optional(*m_closed.unblockedAt - monotonicNow()) : std::nullopt;
-    refuse(kind, text, opensAfter ? retryAfterWhenBlocked(*opensAfter, drawNumber()) : retryAfterFor(reach, drawNumber()));
+    m_blockedBackends = m_context.constraints.blockedBackends(candidates, {});
+    const bool isAnyUnblocked = m_blockedBackends.replicas.size() < candidates.size();
+    const auto unblockedAfter
+        = m_blockedBackends.unblockedAt && !isAnyUnblocked ? std::optional(*m_blockedBackends.unblockedAt - monotonicNow()) : std::nullopt;
+    refuse(kind, text, unblockedAfter ? retryAfterWhenBlocked(*unblockedAfter, randomNumber()) : retryAfterFor(scope, randomNumber()));
 }
 
-void request_run::refuse(error_kind kind, const std::string &text, refusal_scope reach)
+/// Refuses the request with a retry-after time that fits the scope of the cause.
+void request_handler::refuse(error_kind kind, const std::string &text, refusal_scope scope)
 {
-    if (reach == refusal_scope::this_daemon) {
-        // What the connection brings next would be refused too.
+    if (scope == refusal_scope::this_daemon) {
+        // Further requests on this connection would be refused as well.
         m_exchange.closeAfterwards();
     }
-    refuse(kind, text, retryAfterFor(reach, drawNumber()));
+    refuse(kind, text, retryAfterFor(scope, randomNumber()));
 }
 
-void request_run::refuse(error_kind kind, const std::string &text, std::optional<duration> comeBackAfter)
+/// Refuses the request and logs the reason. \a retryAfter is empty if the client should not be asked to retry.
+void request_handler::refuse(error_kind kind, const std::string &text, std::optional<duration> retryAfter)
 {
-    for (const auto &header : m_context.dialect.ownHeaders(m_head)) {
+    for (const auto &header : m_context.dialect.daemonHeaders(m_head)) {
         m_exchange.setHeader(header.name, header.value);
     }
     m_context.counters.countRefusal(kind);
-    tellEnd(request_outcome::refused);
+    recordResult(request_outcome::refused);
     requestLog.writeKept("refused",
-                         {{"request", m_head.attempt.value()},
+                         {{"request", m_head.requestId.value()},
                           {"identity", m_identity ? m_identity->value() : ""},
                           {"route", m_route == nullptr ? "" : m_route->name},
                           {"kind", errorAnswer(kind).name},
                           {"why", text},
-                          {"last_try", m_lastWhy},
-                          {"no_repeat", m_noRepeatWhy},
-                          {"closed", m_closed.text()},
-                          {"come_back_ms", comeBackAfter.value_or(duration(0)).count()},
+                          {"last_try", m_lastReason},
+                          {"no_repeat", m_noRetryReason},
+                          {"closed", m_blockedBackends.text()},
+                          {"come_back_ms", retryAfter.value_or(duration(0)).count()},
                           {"tries", m_attempts},
-                          {"held_ms", held().count()},
+                          {"held_ms", elapsed().count()},
                           {"time_left_ms", timeLeft().count()}});
-    m_exchange.sendError({kind, text}, m_head.attempt.value(), comeBackAfter);
+    m_exchange.sendError({kind, text}, m_head.requestId.value(), retryAfter);
 }
 
-// What the log and the metrics are told.
+// Log and metrics.
 
-/// Of most requests there is nothing to say but that they were served in time: their ids go out with those of others.
-void request_run::tellAnswered(try_end end)
+/// Records a request that was answered, or whose client left. Most requests are served in time at the first attempt; these get no log line
+/// of their own, their ids are logged in batches.
+void request_handler::logAnswered(attempt_outcome end)
 {
-    const auto first = firstEvent();
+    const auto first = timeToFirstEvent();
     const auto outcome
-        = end == try_end::caller_left ? request_outcome::caller_left : outcomeOfAnswer(*m_route, m_status, first, m_longestPause);
-    if (tellEnd(outcome)) {
+        = end == attempt_outcome::caller_left ? request_outcome::caller_left : outcomeOfAnswer(*m_route, m_status, first, m_longestPause);
+    if (recordResult(outcome)) {
         return;
     }
-    requestLog.writeKept(tryEndName(end),
-                         {{"request", m_head.attempt.value()},
+    requestLog.writeKept(attemptOutcomeName(end),
+                         {{"request", m_head.requestId.value()},
                           {"route", m_route->name},
                           {"outcome", requestOutcomeName(outcome)},
                           {"status", m_status},
                           {"tries", m_attempts},
-                          {"replica", m_tried.empty() ? "" : m_tried.back().value()},
-                          {"others_there", m_othersThere},
-                          {"held_ms", held().count()},
+                          {"replica", m_triedReplicas.empty() ? "" : m_triedReplicas.back().value()},
+                          {"others_there", m_concurrentRequests},
+                          {"held_ms", elapsed().count()},
                           {"time_left_ms", timeLeft().count()},
                           {"first_ms", first.value_or(duration(-1)).count()},
                           {"pause_ms", m_longestPause.count()},
                           {"last_event", m_events.lastId()}});
 }
 
-/// Whether nothing else is to be told of it.
-bool request_run::tellEnd(request_outcome outcome)
+/// Counts the outcome of the request. Returns true if its id is logged in a batch, so that no line of its own is needed.
+bool request_handler::recordResult(request_outcome outcome)
 {
-    const request_end end{outcome, firstEvent(), m_longestPause, held(), m_tried.size()};
-    // Nothing is known of a request that has no route but that it was refused, which its kind of refusal counts.
+    const request_result result{outcome, timeToFirstEvent(), m_longestPause, elapsed(), m_triedReplicas.size()};
+    // A request without a route has been refused, and is counted by the kind of refusal.
     if (m_route != nullptr) {
-        m_context.ends.note(m_route->kind, end);
+        m_context.requestMetrics.record(m_route->kind, result);
     }
-    const bool isOnRoll = isOrdinary(end);
-    if (isOnRoll) {
-        m_context.roll.noteServed(m_head.attempt.value());
+    const bool isInBatch = isServedAtFirstAttempt(result);
+    if (isInBatch) {
+        m_context.requestIds.addServed(m_head.requestId.value());
     } else {
-        m_context.roll.noteTold(m_head.attempt.value());
+        m_context.requestIds.removeArrival(m_head.requestId.value());
     }
-    return isOnRoll;
+    return isInBatch;
 }
 
-void request_run::tellTry(const backend &target, try_end end) const
+/// Counts the outcome of an attempt, and logs it unless the request was answered.
+void request_handler::recordAttempt(const backend &target, attempt_outcome outcome) const
 {
-    m_context.tries.at(static_cast<std::size_t>(end)).increment();
-    if (end == try_end::answered) {
+    m_context.attemptCounters.at(static_cast<std::size_t>(outcome)).increment();
+    if (outcome == attempt_outcome::answered) {
         return;
     }
     requestLog.writeKept("try_ended",
-                         {{"request", m_head.attempt.value()},
+                         {{"request", m_head.requestId.value()},
                           {"replica", target.replica.value()},
                           {"group", target.group.value()},
-                          {"end", tryEndName(end)},
-                          {"why", m_lastWhy},
+                          {"end", attemptOutcomeName(outcome)},
+                          {"why", m_lastReason},
                           {"identity", m_identity ? m_identity->value() : ""},
-                          {"replica_found", m_replicaEnd ? replicaEndFindingName(*m_replicaEnd) : ""},
-                          {"others_there", m_othersThere},
-                          {"try_ms", (monotonicNow() - m_tryStart).count()},
+                          {"replica_found", m_replicaLiveness ? replicaLivenessName(*m_replicaLiveness) : ""},
+                          {"others_there", m_concurrentRequests},
+                          {"try_ms", (monotonicNow() - m_attemptStart).count()},
                           {"last_event", m_events.lastId()}});
 }
 
-std::optional<duration> request_run::firstEvent() const
+/// The time from the request's arrival until the first part of its answer was sent; empty if none was.
+std::optional<duration> request_handler::timeToFirstEvent() const
 {
     return m_firstSent ? std::optional(*m_firstSent - m_arrival) : std::nullopt;
 }
 
-duration request_run::held() const
+/// The time since the request's arrival.
+duration request_handler::elapsed() const
 {
     return monotonicNow() - m_arrival;
 }
--- /dev/null
+++ b/Libraries/Entry/request_handler.h
@@ -0,0 +1,134 @@
+// SPDX-License-Identifier: Apache-2.0
+#pragma once
+
+#include "Libraries/Entry/attempt_outcome.h"
+#include "Libraries/Entry/event_splitter.h"
+#include "Libraries/Entry/relay_context.h"
+#include "Libraries/Entry/request_outcome.h"
+#include "Libraries/Http/http_server.h"
+#include "Libraries/Http/http_upstream.h"
+
+#include <memory>
+#include <optional>
+#include <string>
+#include <vector>
+
+namespace vetchpost {
+
+/// Handles one client request on the thread of its connection. request_handler.cpp holds validation and the choice of replicas,
+/// request_answer.cpp the relaying of a replica's answer, request_finish.cpp the final answer and the log.
+class request_handler
+{
+public:
+    request_handler(relay_context &context, http_exchange &exchange);
+    request_handler(const request_handler &) = delete;
+    request_handler &operator=(const request_handler &) = delete;
+
+    /// Runs the request to its end and answers the client.
+    void serve();
+
+private:
+    struct buffered_answer
+    {
+        upstream_head head;
+        std::string body;
+    };
+
+    bool readRequest();
+    bool findRoute();
+    bool authenticate();
+    bool awaitReplicaList() const;
+    void dispatch();
+    attempt_outcome runAttempts();
+    bool mayRetry(attempt_outcome outcome);
+    bool reserveRetry();
+    void finish(attempt_outcome outcome);
+    void refuse(error_kind kind, const std::string &text, std::optional<duration> retryAfter = std::nullopt);
+    void refuse(error_kind kind, const std::string &text, refusal_scope scope);
+    void refuseForLackOfReplicas(error_kind kind, const std::string &text, refusal_scope scope);
+
+    void logAnswered(attempt_outcome end);
+    bool recordResult(request_outcome outcome);
+    void recordAttempt(const backend &target, attempt_outcome outcome) const;
+
+    organisation_id organisation() const;
+    const std::optional<request_identity> &identity();
+    void recordLoss(const backend &target);
+    void recordAnswered();
+    std::optional<duration> refusedFor();
+    bool mustWithdraw();
+    std::optional<duration> timeToFirstEvent() const;
+    duration elapsed() const;
+
+    std::optional<backend> chooseReplica();
+    bool hasAvailableReplica(duration time) const;
+    attempt_outcome runAttempt(const backend &target);
+    attempt_outcome sendAndRelay(const backend &target);
+    http_call replicaCall(const backend &target) const;
+    attempt_outcome awaitAnswer(http_upstream &upstream, const backend &target);
+    attempt_outcome relayAnswer(http_upstream &upstream, const backend &target);
+    attempt_outcome relayBuffered(http_upstream &upstream, const upstream_head &head);
+    attempt_outcome relayEvents(http_upstream &upstream, const upstream_head &head, const backend &target);
+    bool relayPiece(const std::string &piece, const upstream_head &head);
+    void beginStream(const upstream_head &head);
+    bool sendBuffered(const buffered_answer &answer);
+    void recordSent();
+
+    void recordProgress(const backend &target);
+    void updateLoad(const backend &target, attempt_outcome outcome) const;
+    bool isStalled(const backend &target) const;
+    bool hasStallWarning(const backend &target) const;
+    instant firstAnswerDeadline() const;
+    duration timeLeft() const;
+    bool isLate() const;
+    bool isStream() const;
+
+    relay_context &m_context;
+    http_exchange &m_exchange;
+    instant m_arrival;
+    instant m_deadline;
+    /// How long the client had waited before it sent this request.
+    duration m_priorWait{};
+    std::shared_ptr<const entry_view> m_view;
+    std::vector<http_header> m_headers;
+    client_request_head m_head;
+    std::string m_body;
+    /// Computed on first use.
+    std::optional<request_identity> m_identity;
+    const route *m_route = nullptr;
+    const served_organisation *m_organisation = nullptr;
+    const served_service *m_service = nullptr;
+    std::vector<instance_id> m_triedReplicas;
+    /// The untried replicas that accepted no requests when a replica was last chosen.
+    blocked_backends m_blockedBackends;
+    /// Attempts in which a replica was reached.
+    int m_attempts = 0;
+    int m_unreachableReplicas = 0;
+    /// A retry for the next attempt has already been consumed from the retry budget.
+    bool m_hasReservedRetry = false;
+    /// A replica may have run the request.
+    bool m_mayHaveRun = false;
+    /// The head of an answer has been sent to the client.
+    bool m_hasBegun = false;
+    /// The status of the answer; valid if m_hasBegun.
+    int m_status = 0;
+    instant m_attemptStart;
+    /// Number of other requests that this daemon had in flight at the replica when the attempt began.
+    int m_concurrentRequests = 0;
+    /// Whether the replica at which the current attempt was lost is still running.
+    std::optional<replica_liveness> m_replicaLiveness;
+    /// The replica has sent something in this attempt.
+    bool m_hasProgress = false;
+    /// When the first and the last part of the answer were sent to the client.
+    std::optional<instant> m_firstSent;
+    std::optional<instant> m_lastSent;
+    duration m_longestPause{};
+    event_splitter m_events;
+    /// A replica's error answer, kept in case no other replica succeeds.
+    std::optional<buffered_answer> m_failure;
+    std::string m_lastReason;
+    /// Why no further attempt was made after the last one.
+    std::string m_noRetryReason;
+};
+
+} // namespace vetchpost
--- a/Libraries/Entry/request_outcome.h
+++ b/Libraries/Entry/request_outcome.h
@@ -11,13 +11,13 @@
 
 namespace vetchpost {
 
-/// What became of a request, as its client sees it.
+/// The final outcome of a request as its client sees it.
 enum class request_outcome {
-    /// A success, in time.
+    /// A successful answer within the time limits of its route.
     served,
-    /// A success whose first event, or a later one, came after the time that its route allows.
+    /// A successful answer whose first event, or the pause between two events, exceeded the route's time limit.
     late,
-    /// The replica's own failure.
+    /// An error status from a replica.
     failed,
     refused,
     broken_off,
@@ -25,43 +25,45 @@
     count
 };
 
+/// The name of an outcome in the log and in metrics.
 std::string_view requestOutcomeName(request_outcome outcome);
 
-/// What is known of a request at its end.
-struct request_end
+/// The outcome and the timings of a finished request.
+struct request_result
 {
     request_outcome outcome = request_outcome::refused;
-    /// Until the first event, or the whole plain answer, was passed on.
-    std::optional<duration> firstEvent;
+    /// From the request's arrival until its first event, or its whole plain answer, was relayed; empty if nothing was relayed.
+    std::optional<duration> timeToFirstEvent;
     duration longestPause{};
-    duration held{};
-    /// Replicas that were tried.
-    std::size_t tries = 0;
+    /// From the request's arrival to its end.
+    duration elapsed{};
+    /// Number of replicas that were tried.
+    std::size_t attempts = 0;
 };
 
-/// The outcome of an answer that was passed on whole.
-request_outcome outcomeOfAnswer(const route &route, int status, std::optional<duration> firstEvent, duration longestPause);
-/// Whether there is nothing to say of it but that it was served.
-bool isOrdinary(const request_end &end);
+/// The outcome of an answer that was relayed completely, by its status and the time limits of its route.
+request_outcome outcomeOfAnswer(const route &route, int status, std::optional<duration> timeToFirstEvent, duration longestPause);
+/// Whether the request was served in time by the first replica, so that it needs no log line of its own.
+bool isServedAtFirstAttempt(const request_result &result);
 
-/// The figures of how requests end. Safe to use from several threads.
+/// Histograms of finished requests by kind of route and outcome. Thread-safe.
 class request_metrics
 {
 public:
     explicit request_metrics(metrics &counters);
 
-    void note(route_kind kind, const request_end &end) const;
+    void record(route_kind kind, const request_result &result) const;
 
 private:
     struct kind_metrics
     {
-        /// By outcome.
-        std::vector<histogram> firstEvent;
+        /// Indexed by request_outcome.
+        std::vector<histogram> timeToFirstEvent;
         std::vector<histogram> longestPause;
-        std::vector<histogram> held;
+        std::vector<histogram> elapsed;
     };
 
-    /// By kind of route.
+    /// Indexed by route_kind.
     std::vector<kind_metrics> m_kinds;
 };
 
--- a/Tests/Entry/testRequestOutcome.cpp
+++ b/Tests/Entry/testRequestOutcome.cpp
@@ -16,17 +16,17 @@
     return stream;
 }
 
-request_end servedByTheFirst()
+request_result servedAtFirstAttempt()
 {
-    request_end end;
-    end.outcome = request_outcome::served;
-    end.tries = 1;
-    return end;
+    request_result result;
+    result.outcome = request_outcome::served;
+    result.attempts = 1;
+    return result;
 }
 
 } // namespace
 
-TEST_CASE("An answer is in time by its route's times for the first event and for pauses")
+TEST_CASE("An answer is late if its first event or a pause exceeds the time limit of its route")
 {
     const auto stream = streamRoute();
     CHECK(outcomeOfAnswer(stream, 200, duration(500), duration(300)) == request_outcome::served);
@@ -37,31 +37,31 @@
     CHECK(outcomeOfAnswer(route(), 200, duration(90000), duration(90000)) == request_outcome::served);
 }
 
-TEST_CASE("Only a request that the first replica served in time is ordinary")
+TEST_CASE("Only a request that the first replica served in time needs no log line of its own")
 {
-    CHECK(isOrdinary(servedByTheFirst()));
-    auto end = servedByTheFirst();
-    end.tries = 2;
-    CHECK_FALSE(isOrdinary(end));
+    CHECK(isServedAtFirstAttempt(servedAtFirstAttempt()));
+    auto result = servedAtFirstAttempt();
+    result.attempts = 2;
+    CHECK_FALSE(isServedAtFirstAttempt(result));
     for (const auto outcome : {request_outcome::late,
                                request_outcome::failed,
                                request_outcome::refused,
                                request_outcome::broken_off,
                                request_outcome::caller_left}) {
-        end = servedByTheFirst();
-        end.outcome = outcome;
-        CHECK_FALSE(isOrdinary(end));
+        result = servedAtFirstAttempt();
+        result.outcome = outcome;
+        CHECK_FALSE(isServedAtFirstAttempt(result));
     }
 }
 
-TEST_CASE("How requests end is counted by kind of route and outcome")
+TEST_CASE("Finished requests are counted by kind of route and outcome")
 {
     metrics counters;
     const request_metrics figures(counters);
-    auto end = servedByTheFirst();
-    end.firstEvent = duration(40);
-    end.held = duration(900);
-    figures.note(route_kind::streaming, end);
+    auto result = servedAtFirstAttempt();
+    result.timeToFirstEvent = duration(40);
+    result.elapsed = duration(900);
+    figures.record(route_kind::streaming, result);
     const auto text = counters.text();
     CHECK(text.find("vetchpost_first_event_seconds_bucket{kind=\"streaming\",outcome=\"served\",le=\"0.05\"} 1") != std::string::npos);
     CHECK(text.find("vetchpost_request_seconds_sum{kind=\"streaming\",outcome=\"served\"} 0.9") != std::string::npos);
--- a/Tests/PlatformAdapter/relayWorld.h
+++ b/Tests/PlatformAdapter/relayFixture.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #pragma once
 
-#include "Libraries/Entry/crash_record.h"
+#include "Libraries/Entry/crash_refusal_store.h"
 #include "Libraries/Entry/entry_daemon.h"
 #include "Libraries/Http/http_client.h"
 #include "Libraries/Http/http_upstream.h"
@@ -21,7 +21,7 @@
 #include <sstream>
 #include <thread>
 
-/// A whole entry daemon before scripted replicas, and a client of it.
+/// Fixture for tests of an entire entry daemon with scripted replicas and a client.
 namespace vetchpost::test {
 
 constexpr auto configurationText = R"({"Version":1,
@@ -36,7 +36,7 @@
               "Engine":{"Slots":4,"Models":[{"Name":"m","size":1,"Share":1.0,"pace":1.0,"LoadS":1.0,"WarmS":0.1}]}}],
  "Tenants":[{"Name":"t1","ApiKeys":["good"],"Priority":1}]})";
 
-/// A key-value service in memory that lets nobody coordinate.
+/// A key-value service in memory. It grants no leases, so that no daemon becomes the coordinator.
 class memory_store : public key_value_service
 {
 public:
@@ -65,7 +65,7 @@
     {
         std::this_thread::sleep_for(m_listingTime);
         key_value_listing listing;
-        // Without a revision it would count as no listing, and be asked for again and again without a pause.
+        // A listing without a revision would count as missing and be requested again and again without a pause.
         listing.upTo = 1;
         for (const auto &[key, value] : m_values) {
             if (key.starts_with(prefix)) {
@@ -115,13 +115,13 @@
     return {"127.0.0.1", socket.address().port()};
 }
 
-/// What a client received.
+/// The answer that a client received.
 struct client_answer
 {
     int status = 0;
     std::vector<http_header> headers;
     std::string body;
-    /// The answer has its end.
+    /// The answer was received up to its end.
     bool isWhole = false;
 
     std::string header(std::string_view name) const
@@ -130,7 +130,8 @@
     }
 };
 
-inline client_answer exchange(const http_call &call)
+/// Sends a request on a connection of its own and receives the answer; its status is 0 if there is none.
+inline client_answer sendCall(const http_call &call)
 {
     constexpr duration patience(5000);
     client_answer answer;
@@ -155,11 +156,12 @@
     return answer;
 }
 
-/// One entry daemon before scripted replicas.
-class relay_world
+/// An entry daemon in front of scripted replicas.
+class relay_fixture
 {
 public:
-    void addPlain(const std::string &id, const scripted_replica &replica)
+    /// Adds a replica of the service without models.
+    void addPlainReplica(const std::string &id, const scripted_replica &replica)
     {
         m_values["servers/" + id] = fmt::format(
             R"({{"Service":"plain","Address":"{}","Zone":"z","Version":"v1","Slots":4,"State":"ready","ColdLeftMs":0,"Seq":1}})",
@@ -171,7 +173,8 @@
         m_values["servers/" + id] = "";
     }
 
-    void addHead(const std::string &id, const scripted_replica &replica)
+    /// Adds the head of an open group that serves the model.
+    void addGroupHead(const std::string &id, const scripted_replica &replica)
     {
         m_values["servers/" + id] = fmt::format(
             R"({{"Service":"large","Address":"{}","Zone":"z","Version":"v1","Slots":4,"State":"ready","ColdLeftMs":0,"Seq":1,"Models":[{{"Name":"m","Version":1}}],
@@ -185,29 +188,31 @@
         return identity_key(std::string(64, 'a'));
     }
 
-    /// The identity of what askWith() sends.
-    static request_identity identityOfAsk(const std::string &path, const std::string &body)
+    /// The identity of a request that sendRequestWithBody() sends.
+    static request_identity identityOfRequest(const std::string &path, const std::string &body)
     {
         return identityOf(identityKey(), {organisation_id("t1"), "POST", "a.example", path, body});
     }
 
-    /// The key-value service keeps from an earlier run that three replicas have ended under a request.
-    void keepRefused(const request_identity &request)
+    /// Stores in the key-value service, as if by an earlier run, that three replicas have ended while running a request.
+    void storeRefusal(const request_identity &request)
     {
         const suspect_report kept{request, organisation_id("t1"), {replica_end(1), replica_end(2), replica_end(3)}, 0, duration(1000)};
-        m_values[crashNotesKey] = encodeCrashNotes({identityKey(), {kept}}, calendarMilliseconds());
+        m_values[crashRefusalsKey] = encodeCrashRefusals({identityKey(), {kept}}, calendarMilliseconds());
     }
 
-    /// From the next start on the bound on keys does not hold for daemons that are cut off.
-    void loosenKeyBound()
+    /// From the next start on, a daemon without a connection to the key-value service accepts keys of any age.
+    void disableStrictKeyRevocation()
     {
         m_isKeyRevocationStrict = false;
     }
 
+    /// Starts the daemon and waits until it is ready, if it can become ready at once. \a hasRunBefore: daemons have run before, so that
+    /// this one starts without retries.
     void start(bool hasConfiguration = true, bool hasRunBefore = false)
     {
-        // Nobody coordinates here, who would write it.
-        m_values.try_emplace(crashNotesKey, encodeCrashNotes({identityKey(), {}}, 0));
+        // Without a coordinator no daemon creates this record.
+        m_values.try_emplace(crashRefusalsKey, encodeCrashRefusals({identityKey(), {}}, 0));
         if (hasConfiguration) {
             m_values["op/config"] = configurationText;
         }
@@ -224,10 +229,11 @@
         settings.stopGrace = m_stopGrace;
         settings.leaseTime = duration(2000);
         settings.stallTime = duration(5000);
-        // A daemon that starts again begins without repeats.
+        // A restarted daemon begins with an empty retry budget.
         settings.isFirstStart = !hasRunBefore;
         settings.retryShare = 0.2;
-        // Nobody coordinates here: the daemon takes its part of the repeats, eight, as one of as many daemons as there may ever be.
+        // Without a coordinator the number of daemons is unknown, so that the daemon's share of the retries is that of the largest number
+        // of daemons: eight retries.
         settings.retrySlack = 3500;
         m_callers = settings.callers;
         m_peers = settings.peers;
@@ -242,7 +248,7 @@
         }
     }
 
-    /// From the next start on the daemon follows a coordinator at this address.
+    /// From the next start on, the daemon follows a coordinator at this address.
     void setCoordinator(const std::string &address)
     {
         m_values["vetchpost/coordinator"] = address;
@@ -253,25 +259,25 @@
         return m_peers;
     }
 
-    /// From the next start on.
+    /// Sets the stop grace from the next start on.
     void setStopGrace(duration grace)
     {
         m_stopGrace = grace;
     }
 
-    /// From the next start on each listing of the replicas takes so long, and the daemon is not waited for until it is ready.
-    void slowListings(duration time)
+    /// From the next start on, each listing of the replicas takes this time, and start() does not wait until the daemon is ready.
+    void delayListings(duration time)
     {
         m_listingTime = time;
     }
 
-    /// The daemon stops as planned; returns when it has.
+    /// Stops the daemon as planned and waits until it has stopped.
     void stopDaemon()
     {
         m_daemon->stop();
     }
 
-    /// Whether the key-value service holds no configuration yet.
+    /// Sets whether the key-value service pretends to hold no configuration.
     void hideConfiguration(bool isHidden)
     {
         m_hidesConfiguration = isHidden;
@@ -282,58 +288,58 @@
         m_isUp = false;
     }
 
-    client_answer ask(const std::string &path, const std::string &key = "good", const std::string &attempt = "a1") const
+    client_answer sendRequest(const std::string &path, const std::string &key = "good", const std::string &requestId = "a1") const
     {
-        return exchange(callFor(path, key, attempt));
+        return sendCall(callFor(path, key, requestId));
     }
 
-    client_answer askWith(const std::string &path, const std::string &body, const std::string &attempt) const
+    client_answer sendRequestWithBody(const std::string &path, const std::string &body, const std::string &requestId) const
     {
-        auto call = callFor(path, "good", attempt);
+        auto call = callFor(path, "good", requestId);
         call.body = body;
-        return exchange(call);
+        return sendCall(call);
     }
 
-    /// Asks with so much time left.
-    client_answer askWithin(const std::string &path, duration patience) const
+    /// Sends a request whose client waits for this time.
+    client_answer sendRequestWithTimeout(const std::string &path, duration patience) const
     {
         auto call = callFor(path, "good", "a1");
         for (auto &header : call.headers) {
             header.value = header.name == "Deadline-Ms" ? std::to_string(patience.count()) : header.value;
         }
-        return exchange(call);
+        return sendCall(call);
     }
 
     /// Sends a request and closes the connection a moment later.
-    void askAndLeave(const std::string &path, const std::string &attempt) const
+    void sendAndClose(const std::string &path, const std::string &requestId) const
     {
         http_upstream connection;
         reason why;
-        REQUIRE(connection.send(callFor(path, "good", attempt), why));
+        REQUIRE(connection.send(callFor(path, "good", requestId), why));
         CHECK(connection.waitForAnswer(monotonicNow() + duration(100), -1) == upstream_wait::timeout);
         connection.close();
     }
 
-    /// The same after so long, whatever has come until then.
-    void askAndLeaveAfter(const std::string &path, const std::string &attempt, duration time) const
+    /// Sends a request and closes the connection after this time, whatever has been received until then.
+    void sendAndCloseAfter(const std::string &path, const std::string &requestId, duration time) const
     {
         http_upstream connection;
         reason why;
-        REQUIRE(connection.send(callFor(path, "good", attempt), why));
+        REQUIRE(connection.send(callFor(path, "good", requestId), why));
         std::this_thread::sleep_for(time);
         connection.close();
     }
 
 private:
-    http_call callFor(const std::string &path, const std::string &key, const std::string &attempt) const
+    http_call callFor(const std::string &path, const std::string &key, const std::string &requestId) const
     {
         http_call call;
         call.to = m_callers;
         call.method = "POST";
         call.target = path;
         call.body = "question";
-        call.headers
-            = {{"Host", "a.example"}, {"Attempt-Id", attempt}, {"Deadline-Ms", "2500"}, {"Model", "m"}, {"Authorization", "Bearer " + key}};
+        call.headers = {
+            {"Host", "a.example"}, {"Attempt-Id", requestId}, {"Deadline-Ms", "2500"}, {"Model", "m"}, {"Authorization", "Bearer " + key}};
         return call;
     }
 
@@ -358,7 +364,7 @@
     std::unique_ptr<entry_daemon> m_daemon;
 };
 
-/// Standard output led into a file for the time of one test.
+/// Redirects standard output to a file while it exists.
 class output_in_file
 {
 public:
@@ -395,7 +401,7 @@
     int m_saved;
 };
 
-inline std::string answerTo(const std::string &request, const std::string &body, const std::string &status = "200 OK")
+inline std::string plainAnswer(const std::string &request, const std::string &body, const std::string &status = "200 OK")
 {
     return fmt::format("HTTP/1.1 {}\r\nAttempt-Id: {}\r\nServer-Stamp: s\r\nContent-Length: {}\r\n\r\n{}",
                        status,
@@ -404,7 +410,7 @@
                        body);
 }
 
-inline std::string refusalTo(const std::string &request)
+inline std::string refusalAnswer(const std::string &request)
 {
     return fmt::format("HTTP/1.1 503 Service Unavailable\r\nAttempt-Id: {}\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n",
                        headerOf(request, "Attempt-Id"));
@@ -428,12 +434,12 @@
     return fmt::format("{:x}\r\n{}\r\n", bytes.size(), bytes);
 }
 
-inline std::string good(const std::string &request)
+inline std::string successAnswer(const std::string &request)
 {
-    return answerTo(request, "answer");
+    return plainAnswer(request, "answer");
 }
 
-inline std::string closed(const std::string & /*request*/)
+inline std::string noAnswer(const std::string & /*request*/)
 {
     return {};
 }
--- a/Tests/PlatformAdapter/scriptedReplica.cpp
+++ b/Tests/PlatformAdapter/scriptedReplica.cpp
@@ -15,9 +15,9 @@
 constexpr int readSize = 4096;
 const Poco::Timespan pollTime(0, 20000);
 constexpr std::chrono::milliseconds pauseTime(100);
-constexpr std::chrono::milliseconds endTime(200);
+constexpr std::chrono::milliseconds restartTime(200);
 
-/// Whether head and body are there.
+/// Whether the text contains the whole head and body of a request.
 bool isWhole(const std::string &request)
 {
     const auto end = request.find("\r\n\r\n");
@@ -65,10 +65,10 @@
     return m_requests;
 }
 
-std::optional<std::chrono::steady_clock::time_point> scripted_replica::givenUpAt() const
+std::optional<std::chrono::steady_clock::time_point> scripted_replica::connectionClosedAt() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_givenUpAt;
+    return m_connectionClosedAt;
 }
 
 void scripted_replica::run()
@@ -104,28 +104,28 @@
         }
         const auto answer = m_answer(request);
         for (std::size_t start = 0; start < answer.size();) {
-            const auto end = std::min(answer.find_first_of({pauseHere, endHere}, start), answer.size());
+            const auto end = std::min(answer.find_first_of({pauseMarker, restartMarker}, start), answer.size());
             if (end > start) {
                 connection.sendBytes(answer.data() + start, static_cast<int>(end - start));
             }
-            if (end < answer.size() && answer[end] == endHere) {
-                endAndStartAgain(connection);
+            if (end < answer.size() && answer[end] == restartMarker) {
+                restart(connection);
                 return;
             }
-            if (end < answer.size() && !pauseWhileWanted(connection)) {
+            if (end < answer.size() && !pauseUnlessClosed(connection)) {
                 return;
             }
             start = end + 1;
         }
         connection.shutdownSend();
     } catch (const Poco::Exception &) {
-        // The daemon has gone away, which some scripts are there to cause.
+        // The daemon has closed the connection, as some tests intend.
         return;
     }
 }
 
-/// False where the daemon has closed the connection.
-bool scripted_replica::pauseWhileWanted(Poco::Net::StreamSocket &connection)
+/// Pauses for pauseTime. Returns false at once if the daemon closes the connection.
+bool scripted_replica::pauseUnlessClosed(Poco::Net::StreamSocket &connection)
 {
     const auto end = std::chrono::steady_clock::now() + pauseTime;
     if (!connection.poll(Poco::Timespan(std::chrono::microseconds(pauseTime).count()), Poco::Net::Socket::SELECT_READ)) {
@@ -137,15 +137,16 @@
         return true;
     }
     const std::lock_guard lock(m_mutex);
-    m_givenUpAt = std::chrono::steady_clock::now();
+    m_connectionClosedAt = std::chrono::steady_clock::now();
     return false;
 }
 
-void scripted_replica::endAndStartAgain(Poco::Net::StreamSocket &connection)
+/// Closes the connection and the port, and opens the port again after restartTime.
+void scripted_replica::restart(Poco::Net::StreamSocket &connection)
 {
     m_socket.close();
     connection.close();
-    std::this_thread::sleep_for(endTime);
+    std::this_thread::sleep_for(restartTime);
     m_socket = Poco::Net::ServerSocket(m_address);
 }
 
--- a/Tests/PlatformAdapter/scriptedReplica.h
+++ b/Tests/PlatformAdapter/scriptedReplica.h
@@ -16,12 +16,12 @@
 
 namespace vetchpost::test {
 
-/// In an answer: a tenth of a second in which the replica sends nothing.
-constexpr char pauseHere = '\x01';
-/// In an answer: the replica ends here, and starts again at its address after a fifth of a second.
-constexpr char endHere = '\x02';
+/// A character in a script's answer that makes the replica send nothing for 100 ms.
+constexpr char pauseMarker = '\x01';
+/// A character in a script's answer that makes the replica stop, and restart at its address after 200 ms.
+constexpr char restartMarker = '\x02';
 
-/// A replica on a loopback port that answers each request with the bytes of a script, then closes the connection.
+/// A replica on a loopback port that answers each request with the bytes that a script returns, then closes the connection.
 class scripted_replica
 {
 public:
@@ -33,28 +33,28 @@
     scripted_replica &operator=(const scripted_replica &) = delete;
 
     std::string address() const;
-    /// The clients' requests that came, with their heads and bodies. Questions whether it lives are answered beside the script.
+    /// The received requests of clients, each with head and body. Liveness probes are not included; they are answered without the script.
     std::vector<std::string> requests() const;
-    /// When the daemon closed a connection before the answer's end, for the last time; noticed in pauses.
-    std::optional<std::chrono::steady_clock::time_point> givenUpAt() const;
+    /// When the daemon last closed a connection before the end of an answer; empty if it never did. Only detected during pauses.
+    std::optional<std::chrono::steady_clock::time_point> connectionClosedAt() const;
 
 private:
     void run();
     void serve(Poco::Net::StreamSocket &connection);
-    bool pauseWhileWanted(Poco::Net::StreamSocket &connection);
-    void endAndStartAgain(Poco::Net::StreamSocket &connection);
+    bool pauseUnlessClosed(Poco::Net::StreamSocket &connection);
+    void restart(Poco::Net::StreamSocket &connection);
 
     script m_answer;
     Poco::Net::ServerSocket m_socket;
     const Poco::Net::SocketAddress m_address;
     mutable std::mutex m_mutex;
     std::vector<std::string> m_requests;
-    std::optional<std::chrono::steady_clock::time_point> m_givenUpAt;
+    std::optional<std::chrono::steady_clock::time_point> m_connectionClosedAt;
     std::atomic<bool> m_isStopping = false;
     std::thread m_thread;
 };
 
-/// The value of a header in a request's text; empty where there is none.
+/// The value of a header in the text of a request; empty if there is no such header.
 std::string headerOf(const std::string &request, const std::string &name);
 
 } // namespace vetchpost::test
--- a/Tests/PlatformAdapter/testCallerLeaves.cpp
+++ b/Tests/PlatformAdapter/testCallerLeaves.cpp
@@ -1,38 +1,40 @@
 // SPDX-License-Identifier: Apache-2.0
-// What a daemon does at its replicas once a client has closed its connection.
-#include "Tests/PlatformAdapter/relayWorld.h"
+// What a daemon sends to its replicas after a client has closed its connection.
+#include "Tests/PlatformAdapter/relayFixture.h"
 
 using namespace vetchpost;
 using namespace vetchpost::test;
 
 namespace {
 
-/// Two seconds in which the replica sends nothing and would work on.
-const std::string longWork(20, pauseHere);
-/// Within this time of the close a replica is told, and nothing new reaches one afterwards.
-constexpr std::chrono::milliseconds givenUpWithin(500);
+/// Two seconds in which the replica works on the request and sends nothing.
+const std::string longWork(20, pauseMarker);
+/// The daemon cancels the request at its replica within this time after the client's close, and sends nothing new to any replica
+/// afterwards.
+constexpr std::chrono::milliseconds cancelledWithin(500);
 constexpr duration clientStays(200);
 
-std::chrono::milliseconds timeUntil(std::chrono::steady_clock::time_point left, const scripted_replica &replica)
+/// The time from the client's close until the replica noticed the cancellation.
+std::chrono::milliseconds timeUntilCancelled(std::chrono::steady_clock::time_point closed, const scripted_replica &replica)
 {
-    const auto until = left + 3 * givenUpWithin;
-    while (!replica.givenUpAt() && std::chrono::steady_clock::now() < until) {
+    const auto until = closed + 3 * cancelledWithin;
+    while (!replica.connectionClosedAt() && std::chrono::steady_clock::now() < until) {
         std::this_thread::sleep_for(duration(10));
     }
-    const auto at = replica.givenUpAt().value_or(std::chrono::steady_clock::time_point::max());
-    return std::chrono::duration_cast<std::chrono::milliseconds>(at - left);
+    const auto at = replica.connectionClosedAt().value_or(std::chrono::steady_clock::time_point::max());
+    return std::chrono::duration_cast<std::chrono::milliseconds>(at - closed);
 }
 
 } // namespace
 
-TEST_CASE("What a replica runs for a client that has gone is given up within half a second")
+TEST_CASE("A request whose client has left is cancelled at its replica within half a second")
 {
     std::string path;
     scripted_replica::script work;
     SECTION("an idempotent request without an answer yet")
     {
         path = "/again/";
-        work = [](const std::string &request) { return longWork + good(request); };
+        work = [](const std::string &request) { return longWork + successAnswer(request); };
     }
     SECTION("a stream before its first event")
     {
@@ -47,31 +49,31 @@
         };
     }
     const scripted_replica replica(work);
-    relay_world world;
-    world.addPlain("i-1", replica);
-    world.addHead("h-1", replica);
-    world.start();
-    world.askAndLeaveAfter(path, "left", clientStays);
-    const auto left = std::chrono::steady_clock::now();
-    CHECK(timeUntil(left, replica) <= givenUpWithin);
+    relay_fixture fixture;
+    fixture.addPlainReplica("i-1", replica);
+    fixture.addGroupHead("h-1", replica);
+    fixture.start();
+    fixture.sendAndCloseAfter(path, "left", clientStays);
+    const auto closed = std::chrono::steady_clock::now();
+    CHECK(timeUntilCancelled(closed, replica) <= cancelledWithin);
     std::this_thread::sleep_for(duration(1000));
     CHECK(replica.requests().size() == 1);
 }
 
-TEST_CASE("Nothing new reaches a replica for a client that went while its request was being rejected")
+TEST_CASE("No replica gets a request whose client left while another replica was rejecting it")
 {
-    const auto slowRefusal = [](const std::string &request) { return std::string(5, pauseHere) + refusalTo(request); };
+    const auto slowRefusal = [](const std::string &request) { return std::string(5, pauseMarker) + refusalAnswer(request); };
     const scripted_replica one(slowRefusal);
     const scripted_replica two(slowRefusal);
-    relay_world world;
+    relay_fixture fixture;
     const auto path = GENERATE(std::string("/again/"), std::string("/stream/"), std::string("/once/"));
     CAPTURE(path);
-    world.addPlain("i-1", one);
-    world.addPlain("i-2", two);
-    world.addHead("h-1", one);
-    world.addHead("h-2", two);
-    world.start();
-    world.askAndLeaveAfter(path, "left", clientStays);
+    fixture.addPlainReplica("i-1", one);
+    fixture.addPlainReplica("i-2", two);
+    fixture.addGroupHead("h-1", one);
+    fixture.addGroupHead("h-2", two);
+    fixture.start();
+    fixture.sendAndCloseAfter(path, "left", clientStays);
     std::this_thread::sleep_for(duration(1500));
     CHECK(one.requests().size() + two.requests().size() == 1);
 }
--- a/Tests/PlatformAdapter/testPlatformDialect.cpp
+++ b/Tests/PlatformAdapter/testPlatformDialect.cpp
@@ -121,7 +121,7 @@
                                              {"Model", "m1"},
                                              {"Last-Event-Id", "12"}};
     const auto head = dialect.readRequest(client);
-    CHECK(head.attempt == request_id("9c41"));
+    CHECK(head.requestId == request_id("9c41"));
     CHECK(head.key == "k1");
     CHECK(head.patience == duration(8000));
     CHECK(head.lastEvent == "12");
@@ -156,8 +156,8 @@
     CHECK(dialect.readAnswer(503, {{"Not-Executed", "1"}}).hasNotRun);
     CHECK_FALSE(dialect.readAnswer(503, {}).hasNotRun);
     const auto answer = dialect.readAnswer(200, {{"Attempt-Id", "9c41"}, {"Server-Stamp", "x"}});
-    CHECK(answer.attempt == request_id("9c41"));
-    CHECK(answer.isSigned);
+    CHECK(answer.requestId == request_id("9c41"));
+    CHECK(answer.hasServerStamp);
 }
 
 TEST_CASE("What a replica says of the work that it can take is read from answers of every kind")
--- a/Tests/PlatformAdapter/testRelayLog.cpp
+++ b/Tests/PlatformAdapter/testRelayLog.cpp
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
-// What the log says of a request.
-#include "Tests/PlatformAdapter/relayWorld.h"
+// What the log records of a request.
+#include "Tests/PlatformAdapter/relayFixture.h"
 
 #include "Libraries/Explain/request_story.h"
 
 using namespace vetchpost;
 using namespace vetchpost::test;
 
-TEST_CASE("Every request that its client does not see served is found in the log by its id, and so are the others")
+TEST_CASE("Every request is found in the log by its id, whether it was served or not")
 {
-    const scripted_replica failing([](const std::string &request) { return answerTo(request, "broken", "500 Internal Server Error"); });
+    const scripted_replica failing([](const std::string &request) { return plainAnswer(request, "broken", "500 Internal Server Error"); });
     const scripted_replica breaking(
         [](const std::string &request) { return streamHead(request, "s") + chunk(event(1)) + chunk("id: 2\ndata: pi"); });
     std::map<std::string, int> statuses;
@@ -17,21 +17,21 @@
     {
         const output_in_file output;
         {
-            relay_world world;
-            world.addPlain("i-1", failing);
-            world.addHead("h-1", breaking);
-            world.start();
-            statuses["nowhere"] = world.ask("/nowhere/", "good", "nowhere").status;
-            statuses["nobody"] = world.ask("/once/", "bad", "nobody").status;
-            statuses["failed"] = world.ask("/once/", "good", "failed").status;
-            statuses["broken"] = world.ask("/stream/", "good", "broken").status;
+            relay_fixture fixture;
+            fixture.addPlainReplica("i-1", failing);
+            fixture.addGroupHead("h-1", breaking);
+            fixture.start();
+            statuses["nowhere"] = fixture.sendRequest("/nowhere/", "good", "nowhere").status;
+            statuses["nobody"] = fixture.sendRequest("/once/", "bad", "nobody").status;
+            statuses["failed"] = fixture.sendRequest("/once/", "good", "failed").status;
+            statuses["broken"] = fixture.sendRequest("/stream/", "good", "broken").status;
         }
         {
-            const scripted_replica fine(good);
-            relay_world world;
-            world.addPlain("i-1", fine);
-            world.start();
-            statuses["served"] = world.ask("/once/", "good", "served").status;
+            const scripted_replica fine(successAnswer);
+            relay_fixture fixture;
+            fixture.addPlainReplica("i-1", fine);
+            fixture.start();
+            statuses["served"] = fixture.sendRequest("/once/", "good", "served").status;
         }
         log.str(output.text());
     }
@@ -45,20 +45,20 @@
     CHECK(collector.storyOf("served").verdict.find("was served in time") != std::string::npos);
 }
 
-TEST_CASE("The log says of a client that has gone that it has, and what time it still had")
+TEST_CASE("The log records that a client has left, and how much time the request had left")
 {
     const scripted_replica slow([](const std::string &request) {
         std::this_thread::sleep_for(duration(400));
-        return good(request);
+        return successAnswer(request);
     });
     std::istringstream log;
     {
         const output_in_file output;
         {
-            relay_world world;
-            world.addPlain("i-1", slow);
-            world.start();
-            world.askAndLeave("/once/", "left");
+            relay_fixture fixture;
+            fixture.addPlainReplica("i-1", slow);
+            fixture.start();
+            fixture.sendAndClose("/once/", "left");
         }
         log.str(output.text());
     }
--- a/Tests/ReplicaLeaving/testReplicaLeaving.cpp
+++ b/Tests/ReplicaLeaving/testReplicaLeaving.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Tests/PlatformAdapter/relayWorld.h"
+#include "Tests/PlatformAdapter/relayFixture.h"
 
 #include "Libraries/Feed/feed_messages.h"
 
@@ -10,29 +10,30 @@
 
 namespace {
 
-constexpr int requests = 12;
+constexpr int requestCount = 12;
 
 std::string served(const std::string &request)
 {
     return streamHead(request, "s") + chunk(event(1)) + "0\r\n\r\n";
 }
 
+/// The answer with a header that announces that the replica leaves.
 std::string withLeaving(std::string answer)
 {
     answer.insert(answer.find("\r\n") + 2, "Server-Leaving: 1\r\n");
     return answer;
 }
 
-void askOften(const relay_world &world)
+void sendRequests(const relay_fixture &fixture)
 {
-    for (int number = 0; number < requests; ++number) {
-        world.ask("/stream/", "good", "a" + std::to_string(number));
+    for (int number = 0; number < requestCount; ++number) {
+        fixture.sendRequest("/stream/", "good", "a" + std::to_string(number));
     }
 }
 
 } // namespace
 
-TEST_CASE("A replica that says in an answer that it leaves gets nothing more, whatever its entry says")
+TEST_CASE("A replica that announces in an answer that it leaves gets no more requests, whatever its entry says")
 {
     scripted_replica::script leaving;
     SECTION("at the head of a stream")
@@ -41,41 +42,41 @@
     }
     SECTION("in a failure")
     {
-        leaving = [](const std::string &request) { return withLeaving(answerTo(request, "no", "500 Internal Server Error")); };
+        leaving = [](const std::string &request) { return withLeaving(plainAnswer(request, "no", "500 Internal Server Error")); };
     }
     SECTION("in a rejection")
     {
-        leaving = [](const std::string &request) { return withLeaving(refusalTo(request)); };
+        leaving = [](const std::string &request) { return withLeaving(refusalAnswer(request)); };
     }
-    SECTION("in an answer to a request that went astray")
+    SECTION("in an answer to a misdirected request")
     {
-        leaving = [](const std::string &request) { return withLeaving(answerTo(request, "", "421 Misdirected Request")); };
+        leaving = [](const std::string &request) { return withLeaving(plainAnswer(request, "", "421 Misdirected Request")); };
     }
     const scripted_replica one(leaving);
     const scripted_replica two(served);
-    relay_world world;
-    world.addHead("h-1", one);
-    world.addHead("h-2", two);
-    world.start();
-    askOften(world);
+    relay_fixture fixture;
+    fixture.addGroupHead("h-1", one);
+    fixture.addGroupHead("h-2", two);
+    fixture.start();
+    sendRequests(fixture);
     CHECK(one.requests().size() == 1);
-    CHECK(two.requests().size() >= requests - 1);
+    CHECK(two.requests().size() >= requestCount - 1);
 }
 
-TEST_CASE("A replica that leaves by another daemon's word gets nothing")
+TEST_CASE("A replica gets no requests after another daemon has reported that it leaves")
 {
     const scripted_replica one(served);
     const scripted_replica two(served);
-    relay_world world;
-    world.addHead("h-1", one);
-    world.addHead("h-2", two);
-    world.start();
+    relay_fixture fixture;
+    fixture.addGroupHead("h-1", one);
+    fixture.addGroupHead("h-2", two);
+    fixture.start();
     Poco::Net::DatagramSocket other(Poco::Net::SocketAddress("127.0.0.1", 0));
     const constraint_batch list{false, 1, {{{instance_id("h-1"), {}}, std::nullopt, constraintLifetime, true}}};
     const auto bytes = encodeFeedMessage(list);
-    other.sendTo(bytes.data(), static_cast<int>(bytes.size()), Poco::Net::SocketAddress(world.peers().host, world.peers().port));
+    other.sendTo(bytes.data(), static_cast<int>(bytes.size()), Poco::Net::SocketAddress(fixture.peers().host, fixture.peers().port));
     std::this_thread::sleep_for(duration(300));
-    askOften(world);
+    sendRequests(fixture);
     CHECK(one.requests().empty());
-    CHECK(two.requests().size() == requests);
+    CHECK(two.requests().size() == requestCount);
 }
--- a/Tests/ReplicaLimit/testReplicaLimit.cpp
+++ b/Tests/ReplicaLimit/testReplicaLimit.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Tests/PlatformAdapter/relayWorld.h"
+#include "Tests/PlatformAdapter/relayFixture.h"
 
 #include <deque>
 #include <mutex>
@@ -9,12 +9,14 @@
 
 namespace {
 
-constexpr double namedLimit = 1;
-/// In a window of four seconds: one and a half times what the limit allows, and five.
+/// The rate limit in requests per second.
+constexpr double announcedLimit = 1;
+/// The most requests allowed in any window: 1.5 times the limit, plus five.
 constexpr int mostInWindow = 11;
 constexpr duration window(4000);
-constexpr duration contactTime(3000);
-constexpr duration played(8000);
+/// Only requests that arrive at least this long after the first one are counted.
+constexpr duration settlingTime(3000);
+constexpr duration testTime(8000);
 constexpr duration betweenRequests(50);
 
 std::string streamWith(const std::string &request, const std::string &headers)
@@ -24,7 +26,7 @@
     return head + chunk(event(1)) + "0\r\n\r\n";
 }
 
-/// Notes when its requests come.
+/// Announces a rate limit and records the arrival times of its requests.
 class limited_replica
 {
 public:
@@ -33,13 +35,14 @@
         const std::lock_guard lock(m_mutex);
         const auto now = monotonicNow();
         m_firstAt = m_firstAt.value_or(now);
-        if (now - *m_firstAt >= contactTime) {
+        if (now - *m_firstAt >= settlingTime) {
             m_arrivals.push_back(now);
         }
-        return streamWith(request, fmt::format("Server-Limit: {}\r\n", namedLimit));
+        return streamWith(request, fmt::format("Server-Limit: {}\r\n", announcedLimit));
     }
 
-    int mostArrivals() const
+    /// The largest number of counted requests in any window.
+    int mostInAnyWindow() const
     {
         const std::lock_guard lock(m_mutex);
         int most = 0;
@@ -58,19 +61,19 @@
 
 } // namespace
 
-TEST_CASE("A replica that has named a limit gets no more than that, and its daemon's other requests are served elsewhere")
+TEST_CASE("A replica that has announced a rate limit gets no more requests than that, and all other requests are served elsewhere")
 {
     limited_replica limited;
     const scripted_replica one([&](const std::string &request) { return limited.answer(request); });
     const scripted_replica two([](const std::string &request) { return streamWith(request, {}); });
-    relay_world world;
-    world.addHead("h-1", one);
-    world.addHead("h-2", two);
-    world.start();
-    const auto end = monotonicNow() + played;
+    relay_fixture fixture;
+    fixture.addGroupHead("h-1", one);
+    fixture.addGroupHead("h-2", two);
+    fixture.start();
+    const auto end = monotonicNow() + testTime;
     for (int number = 0; monotonicNow() < end; ++number) {
-        CHECK(world.ask("/stream/", "good", "a" + std::to_string(number)).status == 200);
+        CHECK(fixture.sendRequest("/stream/", "good", "a" + std::to_string(number)).status == 200);
         std::this_thread::sleep_for(betweenRequests);
     }
-    CHECK(limited.mostArrivals() <= mostInWindow);
+    CHECK(limited.mostInAnyWindow() <= mostInWindow);
 }
--- a/Tests/ReplicaRest/testReplicaRest.cpp
+++ b/Tests/ReplicaRest/testReplicaRest.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Tests/PlatformAdapter/relayWorld.h"
+#include "Tests/PlatformAdapter/relayFixture.h"
 
 using namespace vetchpost;
 using namespace vetchpost::test;
@@ -8,7 +8,7 @@
 
 constexpr duration betweenRequests(30);
 
-std::string restingRefusal(const std::string &request, const std::string &seconds)
+std::string backoffRefusal(const std::string &request, const std::string &seconds)
 {
     return fmt::format(
         "HTTP/1.1 503 Service Unavailable\r\nAttempt-Id: {}\r\nNot-Executed: 1\r\nRetry-After: {}\r\nContent-Length: 0\r\n\r\n",
@@ -21,52 +21,52 @@
     return streamHead(request, "s") + chunk(event(1)) + "0\r\n\r\n";
 }
 
-/// Rejects every request and asks for rest.
-scripted_replica::script resting(const std::string &seconds)
+/// The script of a replica that rejects every request and asks for a backoff of this many seconds.
+scripted_replica::script backingOff(const std::string &seconds)
 {
-    return [seconds](const std::string &request) { return restingRefusal(request, seconds); };
+    return [seconds](const std::string &request) { return backoffRefusal(request, seconds); };
 }
 
 } // namespace
 
-TEST_CASE("A replica that asks for rest gets nothing more from its daemon in that time, and something after it")
+TEST_CASE("A replica that asks for a backoff gets no request from the daemon in that time, and the next one after it")
 {
-    const scripted_replica one(resting("2"));
+    const scripted_replica one(backingOff("2"));
     const scripted_replica two(served);
-    relay_world world;
-    world.addHead("h-1", one);
-    world.addHead("h-2", two);
-    world.start();
-    const auto play = [&](duration time) {
+    relay_fixture fixture;
+    fixture.addGroupHead("h-1", one);
+    fixture.addGroupHead("h-2", two);
+    fixture.start();
+    const auto sendRequests = [&](duration time) {
         const auto end = monotonicNow() + time;
         for (int number = 0; monotonicNow() < end; ++number) {
-            CHECK(world.ask("/stream/", "good", "a" + std::to_string(number)).status == 200);
+            CHECK(fixture.sendRequest("/stream/", "good", "a" + std::to_string(number)).status == 200);
             std::this_thread::sleep_for(betweenRequests);
         }
     };
-    play(duration(1800));
+    sendRequests(duration(1800));
     CHECK(one.requests().size() == 1);
-    play(duration(700));
+    sendRequests(duration(700));
     CHECK(one.requests().size() == 2);
 }
 
-TEST_CASE("Where all replicas rest the refusal comes at once and tells when the first of them takes requests again")
+TEST_CASE("If all replicas asked for a backoff, a request is refused at once, to be retried when the first backoff ends")
 {
-    const scripted_replica one(resting("1.5"));
-    const scripted_replica two(resting("3"));
-    relay_world world;
-    world.addHead("h-1", one);
-    world.addHead("h-2", two);
-    world.start();
-    const auto first = world.ask("/stream/", "good", "a1");
+    const scripted_replica one(backingOff("1.5"));
+    const scripted_replica two(backingOff("3"));
+    relay_fixture fixture;
+    fixture.addGroupHead("h-1", one);
+    fixture.addGroupHead("h-2", two);
+    fixture.start();
+    const auto first = fixture.sendRequest("/stream/", "good", "a1");
     CHECK(first.status == 503);
     const auto asked = monotonicNow();
-    const auto second = world.ask("/stream/", "good", "a2");
+    const auto second = fixture.sendRequest("/stream/", "good", "a2");
     CHECK(second.status == 503);
     CHECK(monotonicNow() - asked < duration(100));
-    const auto comeBack = std::stod(second.header("Retry-After"));
-    CHECK(comeBack > 1.2);
-    CHECK(comeBack < 2.2);
+    const auto retryAfter = std::stod(second.header("Retry-After"));
+    CHECK(retryAfter > 1.2);
+    CHECK(retryAfter < 2.2);
     CHECK(one.requests().size() == 1);
     CHECK(two.requests().size() == 1);
 }
--- a/Tests/Suspension/suspendedClock.cpp
+++ b/Tests/Suspension/suspendedClock.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-// Takes the place of the library's function in this program alone.
+// Replaces the C library's function in this test program only.
 extern "C" int clock_gettime(clockid_t clock, timespec *time) noexcept
 {
     const auto result = static_cast<int>(syscall(SYS_clock_gettime, clock, time));
--- a/Tests/Suspension/suspendedClock.h
+++ b/Tests/Suspension/suspendedClock.h
@@ -5,8 +5,8 @@
 
 namespace vetchpost::test {
 
-/// Lets this process see what it would see after a suspension of the machine: the calendar clock and the clock that counts the time of a
-/// suspension have gone on, the steady one and all waits have stood still.
+/// Simulates for this process that the machine was suspended for this time: CLOCK_REALTIME and CLOCK_BOOTTIME advance, CLOCK_MONOTONIC and
+/// all waits do not.
 void suspend(duration time);
 
 } // namespace vetchpost::test
--- a/Tests/Suspension/testSuspension.cpp
+++ b/Tests/Suspension/testSuspension.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
-// A suspended machine's steady clock stands still. A daemon that took its ages from it would, for as long as it had been suspended, accept
-// withdrawn keys, hold a lease that has lapsed and pass on requests whose time is over.
+// The steady clock does not advance while a machine is suspended. A daemon that measured ages with it would accept revoked keys, believe
+// that it holds a lapsed lease and relay requests past their deadline, for as long as the suspension lasted.
 #include "Libraries/Assembly/coordination_term.h"
-#include "Tests/PlatformAdapter/relayWorld.h"
+#include "Tests/PlatformAdapter/relayFixture.h"
 #include "Tests/Suspension/suspendedClock.h"
 
 #include <future>
@@ -10,7 +10,7 @@
 using namespace vetchpost;
 using namespace vetchpost::test;
 
-TEST_CASE("The time of a suspension counts")
+TEST_CASE("The monotonic clock includes the time of a suspension")
 {
     const auto before = monotonicNow();
     suspend(duration(5000));
@@ -26,26 +26,26 @@
     CHECK_FALSE(isHeldFor(term, duration(), monotonicNow()));
 }
 
-TEST_CASE("A daemon that was suspended for longer than keys may be old takes none before it has heard that they are current")
+TEST_CASE("A daemon that was suspended for longer than keys are valid accepts none until it knows that they are current")
 {
-    const scripted_replica replica(good);
-    relay_world world;
-    world.addPlain("i-1", replica);
-    world.start();
-    CHECK(world.ask("/once/").status == 200);
-    world.stopStore();
+    const scripted_replica replica(successAnswer);
+    relay_fixture fixture;
+    fixture.addPlainReplica("i-1", replica);
+    fixture.start();
+    CHECK(fixture.sendRequest("/once/").status == 200);
+    fixture.stopStore();
     suspend(duration(1600));
-    CHECK(world.ask("/once/").status == 503);
+    CHECK(fixture.sendRequest("/once/").status == 503);
     CHECK(replica.requests().size() == 1);
 }
 
-TEST_CASE("A request whose time is over after a suspension is answered at once")
+TEST_CASE("A request whose deadline passed during a suspension is answered at once")
 {
-    const scripted_replica silent([](const std::string & /*request*/) { return std::string(30, pauseHere); });
-    relay_world world;
-    world.addPlain("i-1", silent);
-    world.start();
-    auto answer = std::async(std::launch::async, [&] { return world.askWithin("/once/", duration(2400)); });
+    const scripted_replica silent([](const std::string & /*request*/) { return std::string(30, pauseMarker); });
+    relay_fixture fixture;
+    fixture.addPlainReplica("i-1", silent);
+    fixture.start();
+    auto answer = std::async(std::launch::async, [&] { return fixture.sendRequestWithTimeout("/once/", duration(2400)); });
     std::this_thread::sleep_for(duration(400));
     suspend(duration(3000));
     const auto woken = monotonicNow();
@@ -53,7 +53,7 @@
     CHECK(monotonicNow() - woken < duration(700));
 }
 
-TEST_CASE("A repeat after a suspension hands on no more time than is left")
+TEST_CASE("A retry after a suspension passes on no more time than is left")
 {
     std::atomic<bool> isFirst = true;
     const auto lostOnce = [&](const std::string &request) {
@@ -61,15 +61,15 @@
             suspend(duration(1500));
             return std::string();
         }
-        return good(request);
+        return successAnswer(request);
     };
     const scripted_replica one(lostOnce);
     const scripted_replica two(lostOnce);
-    relay_world world;
-    world.addPlain("i-1", one);
-    world.addPlain("i-2", two);
-    world.start();
-    CHECK(world.askWithin("/again/", duration(2400)).status == 200);
+    relay_fixture fixture;
+    fixture.addPlainReplica("i-1", one);
+    fixture.addPlainReplica("i-2", two);
+    fixture.start();
+    CHECK(fixture.sendRequestWithTimeout("/again/", duration(2400)).status == 200);
     std::vector<int> times;
     for (const auto *replica : {&one, &two}) {
         for (const auto &request : replica->requests()) {
@@ -80,16 +80,16 @@
     CHECK(std::min(times[0], times[1]) < 1000);
 }
 
-TEST_CASE("A planned stop over a suspension ends inside its grace")
+TEST_CASE("A planned stop that includes a suspension ends within its grace period")
 {
-    const scripted_replica replica(good);
-    relay_world world;
-    world.addPlain("i-1", replica);
+    const scripted_replica replica(successAnswer);
+    relay_fixture fixture;
+    fixture.addPlainReplica("i-1", replica);
     constexpr duration grace(8000);
-    world.setStopGrace(grace);
-    world.start();
+    fixture.setStopGrace(grace);
+    fixture.start();
     const auto asked = monotonicNow();
-    auto stop = std::async(std::launch::async, [&] { world.stopDaemon(); });
+    auto stop = std::async(std::launch::async, [&] { fixture.stopDaemon(); });
     std::this_thread::sleep_for(duration(200));
     suspend(duration(6000));
     stop.get();
