--- a/Benchmarks/benchGroups.cpp
+++ b/Benchmarks/benchGroups.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// A month of losses and returns over the planner, beside a naive one and a bound from below, in virtual time.
+// Measures group downtime and stranded accelerators over a month of losses and returns in virtual time, compared to a naive planner and a
+// lower bound, and the time and memory of planning.
 #include "Benchmarks/figure.h"
 #include "Benchmarks/groupTrace.h"
 #include "Benchmarks/naivePlanner.h"
@@ -18,20 +19,21 @@
 constexpr double restartsPerInstanceDay = 91.0 / 1500;
 constexpr double millisecondsPerSecond = 1000;
 
-planner ours()
+planner optimisingPlanner()
 {
     return [](const planning_input &input) { return planGroups(input, planning_policy()); };
 }
 
-planner naive()
+planner naivePlanner()
 {
     return [](const planning_input &input) { return planNaively(input, seed); };
 }
 
+/// Replays the same trace with the planner and the naive one and prints both results with the lower bound.
 trace_result compare(const std::string &name, const trace_size &size, const trace_profile &profile)
 {
-    const auto result = replayTrace(size, profile, ours(), seed);
-    const auto baseline = replayTrace(size, profile, naive(), seed);
+    const auto result = replayTrace(size, profile, optimisingPlanner(), seed);
+    const auto baseline = replayTrace(size, profile, naivePlanner(), seed);
     std::fflush(stdout);
     fmt::print("{}: {} losses of serving groups, {} plans, {} writes; naive: {} losses\n",
                name,
@@ -39,16 +41,17 @@
                result.plans,
                result.writes,
                baseline.losses);
-    printFigure({"group_downtime_" + name, result.downtimeGroupHours, "group-hours", baseline.downtimeGroupHours, result.boundGroupHours});
+    printFigure({"group_downtime_" + name, result.downtimeGroupHours, "group-hours", baseline.downtimeGroupHours, result.minGroupHours});
     printFigure({"stranded_" + name,
                  result.strandedAcceleratorHours,
                  "accelerator-hours",
                  baseline.strandedAcceleratorHours,
-                 result.boundAcceleratorHours});
+                 result.minAcceleratorHours});
     return result;
 }
 
-trace_size todaysSize(int instancesPerDomain)
+/// The default size, with losses in proportion to the number of instances.
+trace_size defaultSize(int instancesPerDomain)
 {
     trace_size size;
     size.instancesPerDomain = instancesPerDomain;
@@ -58,7 +61,7 @@
     return size;
 }
 
-/// The letter's size by the reading with the most members: 1,400 replicas of 16 instances in 9 data centres.
+/// The target size with the largest groups: 1,400 replicas of 16 instances in 9 data centres.
 trace_size targetSize(int instancesPerDomain)
 {
     trace_size size;
@@ -72,12 +75,13 @@
     size.restartsPerDay = 91;
     size.dataCentreLosses = 1;
     size.storeSlots = 64;
-    // A month of this size takes long to replay: three days stand for it, with the month's rack and data centre.
+    // A month of this size takes too long to replay, so only three days are, with a month's outages of racks and data centres.
     size.days = 3;
     return size;
 }
 
-/// One data centre of this many groups of 16, all serving; how long a round takes with nothing to do, and with one member lost.
+/// Measures a planning round for one data centre in which this many groups of 16 instances serve: without a loss, and after the loss of
+/// one member. Also prints the size of the allotment and the memory in use.
 void measurePlanningStep(int groups)
 {
     constexpr int size = 16;
@@ -98,19 +102,20 @@
     wanted.enginesCheckFencing = true;
     const std::optional<std::vector<deployment_want>> wants = {{{wanted, groups}}};
     instance_tracker tracker;
-    takeList(tracker, list);
-    const auto at = [](int seconds) { return instant(std::chrono::seconds(seconds)); };
+    applyInstanceList(tracker, list);
+    const auto atSecond = [](int seconds) { return instant(std::chrono::seconds(seconds)); };
     std::map<instance_id, engine_state> states;
     const auto observe = [&](const instance_id &id, engine_state state) {
         state.instance = id;
-        takeObservation(tracker, {id, state}, at(1));
+        applyObservation(tracker, {id, state}, atSecond(1));
     };
     for (const auto &listed : list) {
         observe(listed.id, {});
     }
-    const std::map<instance_id, instant> notBefore;
+    const std::map<instance_id, instant> reusableFrom;
     const auto plan = [&](const allotment &current, int seconds) {
-        return planGroups({current, tracker, wants, {100000, 0}, notBefore, at(seconds), 0, data_centre_id("dc")}, planning_policy());
+        return planGroups({current, tracker, wants, {100000, 0}, reusableFrom, atSecond(seconds), 0, data_centre_id("dc")},
+                          planning_policy());
     };
     const auto formed = plan({}, 2).next;
     for (const auto &group : formed.groups) {
@@ -124,7 +129,7 @@
             observe(group.members[rank].instance, state);
         }
     }
-    const auto time = [&](const std::string &name, int seconds) {
+    const auto measure = [&](const std::string &name, int seconds) {
         const auto before = processorSeconds();
         for (int i = 0; i < rounds; ++i) {
             plan(formed, seconds);
@@ -132,9 +137,9 @@
         printFigure(
             {fmt::format("{}_{}_groups", name, groups), (processorSeconds() - before) / rounds * millisecondsPerSecond, "ms", {}, {}});
     };
-    time("planning_step_ms", 3);
-    takeObservation(tracker, {formed.groups.front().members.front().instance, std::nullopt}, at(4));
-    time("planning_step_one_loss_ms", 10);
+    measure("planning_step_ms", 3);
+    applyObservation(tracker, {formed.groups.front().members.front().instance, std::nullopt}, atSecond(4));
+    measure("planning_step_one_loss_ms", 10);
     printFigure({fmt::format("allotment_kb_{}_groups", groups), static_cast<double>(toText(formed).size()) / 1024, "KB", {}, {}});
     printFigure({fmt::format("planning_memory_mb_{}_groups", groups), residentKilobytes() / 1024, "MB", {}, {}});
 }
@@ -143,17 +148,17 @@
 
 int main(int argc, char **argv)
 {
-    // The letter's size takes long to replay: it is asked for by name.
-    const bool isTargetAsked = argc > 1 && std::strcmp(argv[1], "--target") == 0;
+    // The target size takes long to replay, so it runs only with --target.
+    const bool runsTargetSize = argc > 1 && std::strcmp(argv[1], "--target") == 0;
     const trace_profile filing{4, 1};
     const trace_profile kiln{1, 4};
-    const auto today = compare("filing", todaysSize(18), filing);
-    compare("kiln", todaysSize(17), kiln);
-    printFigure({"kv_calls_per_event", static_cast<double>(today.writes) / today.losses, "calls", {}, {}});
+    const auto filingResult = compare("filing", defaultSize(18), filing);
+    compare("kiln", defaultSize(17), kiln);
+    printFigure({"kv_calls_per_event", static_cast<double>(filingResult.writes) / filingResult.losses, "calls", {}, {}});
     for (const auto groups : {16, 80, 156}) {
         measurePlanningStep(groups);
     }
-    if (isTargetAsked) {
+    if (runsTargetSize) {
         compare("filing_target", targetSize(68), filing);
         compare("kiln_target", targetSize(66), kiln);
     }
--- a/Benchmarks/groupTrace.cpp
+++ b/Benchmarks/groupTrace.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "Benchmarks/groupTrace.h"
 
-#include "Libraries/Groups/group_standing.h"
+#include "Libraries/Groups/group_state.h"
 
 #include <fmt/format.h>
 
@@ -22,7 +22,7 @@
 constexpr double meanRepairSeconds = 4 * 3600;
 constexpr double rackOutageSeconds = 1800;
 constexpr double dataCentreOutageSeconds = 3600;
-/// While something is broken the planner is asked again this often, as the daemon's ticks do.
+/// While fewer groups serve than are wanted, the planner runs again after this time, as it does on the daemon's ticks.
 constexpr duration replanPeriod(5000);
 
 enum class trace_kind { lost, returned, loaded, replan };
@@ -30,19 +30,19 @@
 struct trace_event
 {
     instant at;
-    std::uint64_t order = 0;
+    std::uint64_t sequence = 0;
     trace_kind kind = trace_kind::replan;
     std::size_t instance = 0;
-    /// For loaded: the generation that was loaded for; for returned: the loss that it ends.
+    /// For loaded: the generation for which weights were loaded. For lost and returned: the number of the loss.
     std::uint64_t number = 0;
 
     bool operator>(const trace_event &other) const
     {
-        return std::tie(at, order) > std::tie(other.at, other.order);
+        return std::tie(at, sequence) > std::tie(other.at, other.sequence);
     }
 };
 
-/// One data centre replayed by itself: its planner sees nothing of the others.
+/// Replays one data centre. Data centres are replayed independently of each other.
 class data_centre_replay
 {
 public:
@@ -76,57 +76,58 @@
         }
         m_states.resize(m_ids.size());
         m_losses.resize(m_ids.size());
-        takeList(m_tracker, list);
+        applyInstanceList(m_tracker, list);
         for (std::size_t i = 0; i < m_ids.size(); ++i) {
             m_states[i].instance = m_ids[i];
             m_states[i].run = incarnation(1);
-            takeObservation(m_tracker, {m_ids[i], m_states[i]}, m_now);
+            applyObservation(m_tracker, {m_ids[i], m_states[i]}, m_now);
         }
     }
 
-    trace_result run(double failuresPerDay, double restartsPerDay, int racks, bool isLostOnce)
+    trace_result run(double failuresPerDay, double restartsPerDay, int rackOutages, bool hasDataCentreOutage)
     {
-        settle();
-        schedule(failuresPerDay, meanRepairSeconds);
-        schedule(restartsPerDay, meanRestartSeconds);
-        for (int rack = 0; rack < racks; ++rack) {
-            loseRange(anyTime(),
-                      static_cast<std::size_t>(any() * m_size.domainsPerDataCentre) * static_cast<std::size_t>(m_size.instancesPerDomain),
-                      static_cast<std::size_t>(m_size.instancesPerDomain),
-                      rackOutageSeconds);
+        formInitialGroups();
+        scheduleLosses(failuresPerDay, meanRepairSeconds);
+        scheduleLosses(restartsPerDay, meanRestartSeconds);
+        for (int rack = 0; rack < rackOutages; ++rack) {
+            scheduleLoss(randomTime(),
+                         static_cast<std::size_t>(randomFraction() * m_size.domainsPerDataCentre)
+                             * static_cast<std::size_t>(m_size.instancesPerDomain),
+                         static_cast<std::size_t>(m_size.instancesPerDomain),
+                         rackOutageSeconds);
         }
-        if (isLostOnce) {
-            loseRange(anyTime(), 0, m_ids.size(), dataCentreOutageSeconds);
+        if (hasDataCentreOutage) {
+            scheduleLoss(randomTime(), 0, m_ids.size(), dataCentreOutageSeconds);
         }
         const auto end = m_start + duration(static_cast<std::int64_t>(m_size.days * secondsPerDay * 1000));
         while (!m_events.empty() && m_events.top().at < end) {
             const auto event = m_events.top();
             m_events.pop();
-            account(event.at);
+            accumulate(event.at);
             handle(event);
         }
-        account(end);
+        accumulate(end);
         return m_result;
     }
 
 private:
-    double any()
+    double randomFraction()
     {
         return std::uniform_real_distribution<double>(0, 1)(m_random);
     }
 
-    instant anyTime()
+    instant randomTime()
     {
-        return m_start + duration(static_cast<std::int64_t>(any() * m_size.days * secondsPerDay * 1000));
+        return m_start + duration(static_cast<std::int64_t>(randomFraction() * m_size.days * secondsPerDay * 1000));
     }
 
     void push(instant at, trace_kind kind, std::size_t instance = 0, std::uint64_t number = 0)
     {
-        m_events.push({at, ++m_order, kind, instance, number});
+        m_events.push({at, ++m_lastSequence, kind, instance, number});
     }
 
-    /// The groups are formed and loaded before the month begins.
-    void settle()
+    /// Forms and loads the groups before the measured time begins.
+    void formInitialGroups()
     {
         for (int round = 0; round < 2000; ++round) {
             replan();
@@ -142,17 +143,19 @@
         m_result = {};
     }
 
-    void schedule(double perDay, double meanSeconds)
+    /// Schedules losses of single instances with exponentially distributed durations.
+    void scheduleLosses(double perDay, double meanSeconds)
     {
         const auto count = std::poisson_distribution<int>(perDay * m_size.days)(m_random);
         for (int i = 0; i < count; ++i) {
-            const auto instance = static_cast<std::size_t>(any() * static_cast<double>(m_ids.size()));
-            const auto away = std::exponential_distribution<double>(1 / meanSeconds)(m_random);
-            loseRange(anyTime(), instance, 1, away);
+            const auto instance = static_cast<std::size_t>(randomFraction() * static_cast<double>(m_ids.size()));
+            const auto lossSeconds = std::exponential_distribution<double>(1 / meanSeconds)(m_random);
+            scheduleLoss(randomTime(), instance, 1, lossSeconds);
         }
     }
 
-    void loseRange(instant at, std::size_t first, std::size_t count, double seconds)
+    /// Schedules the loss of a range of instances and their return.
+    void scheduleLoss(instant at, std::size_t first, std::size_t count, double seconds)
     {
         for (std::size_t i = first; i < first + count; ++i) {
             const auto loss = ++m_lastLoss;
@@ -168,8 +171,8 @@
         switch (event.kind) {
         case trace_kind::lost:
             m_losses[event.instance] = event.number;
-            noteLossOfService(event.instance);
-            takeObservation(m_tracker, {m_ids[event.instance], std::nullopt}, m_now);
+            recordServiceLoss(event.instance);
+            applyObservation(m_tracker, {m_ids[event.instance], std::nullopt}, m_now);
             break;
         case trace_kind::returned:
             if (m_losses[event.instance] != event.number) {
@@ -179,13 +182,13 @@
             state = engine_state();
             state.instance = m_ids[event.instance];
             state.run = incarnation(++m_runs);
-            takeObservation(m_tracker, {state.instance, state}, m_now);
+            applyObservation(m_tracker, {state.instance, state}, m_now);
             break;
         case trace_kind::loaded:
             --m_activeLoads;
             if (m_losses[event.instance] == 0 && state.confirmed.value() == event.number && state.phase == engine_phase::loading) {
                 state.phase = engine_phase::ready;
-                takeObservation(m_tracker, {state.instance, state}, m_now);
+                applyObservation(m_tracker, {state.instance, state}, m_now);
             }
             startLoads();
             break;
@@ -196,16 +199,16 @@
         replan();
     }
 
-    void noteLossOfService(std::size_t instance)
+    void recordServiceLoss(std::size_t instance)
     {
         for (const auto &group : m_allotted.groups) {
             const auto isMember = [&](const allotted_member &member) { return member.instance == m_ids[instance]; };
             if (std::any_of(group.members.begin(), group.members.end(), isMember)
-                && standingOf(group, m_tracker) == group_standing::serving) {
+                && groupStateOf(group, m_tracker) == group_state::serving) {
                 ++m_result.losses;
                 const auto hours = static_cast<double>(loadTime.count()) / 1000 / secondsPerHour;
-                m_result.boundGroupHours += hours;
-                m_result.boundAcceleratorHours += hours * m_size.acceleratorsPerInstance * m_size.instancesPerReplica;
+                m_result.minGroupHours += hours;
+                m_result.minAcceleratorHours += hours * m_size.acceleratorsPerInstance * m_size.instancesPerReplica;
             }
         }
     }
@@ -213,7 +216,7 @@
     void replan()
     {
         const planning_input input{
-            m_allotted, m_tracker, m_wants, {m_size.storeSlots, m_activeLoads}, m_notBefore, m_now, m_now.time_since_epoch().count()};
+            m_allotted, m_tracker, m_wants, {m_size.storeSlots, m_activeLoads}, m_reusableFrom, m_now, m_now.time_since_epoch().count()};
         const auto started = std::chrono::steady_clock::now();
         auto result = m_plan(input);
         m_result.planningSeconds += std::chrono::duration<double>(std::chrono::steady_clock::now() - started).count();
@@ -222,7 +225,7 @@
             ++m_result.writes;
             m_allotted = std::move(result.next);
         }
-        order();
+        applyAllotment();
         startLoads();
         if (servingGroups() < *m_wants->front().replicas && !m_isReplanDue) {
             m_isReplanDue = true;
@@ -230,8 +233,8 @@
         }
     }
 
-    /// Every member that answers takes its place; those without the weights queue at the store.
-    void order()
+    /// Carries out the allotment at once: every reachable member joins its group, and those without its weights queue for a load.
+    void applyAllotment()
     {
         for (const auto &group : m_allotted.groups) {
             for (std::size_t rank = 0; rank < group.members.size(); ++rank) {
@@ -249,18 +252,18 @@
                 state.choice = group.choice;
                 if (!hasWeights) {
                     state.phase = engine_phase::loading;
-                    m_waitingLoads.push_back({instance, group.current.value()});
+                    m_queuedLoads.push_back({instance, group.current.value()});
                 }
-                takeObservation(m_tracker, {state.instance, state}, m_now);
+                applyObservation(m_tracker, {state.instance, state}, m_now);
             }
         }
     }
 
     void startLoads()
     {
-        while (m_activeLoads < m_size.storeSlots && !m_waitingLoads.empty()) {
-            const auto [instance, number] = m_waitingLoads.front();
-            m_waitingLoads.erase(m_waitingLoads.begin());
+        while (m_activeLoads < m_size.storeSlots && !m_queuedLoads.empty()) {
+            const auto [instance, number] = m_queuedLoads.front();
+            m_queuedLoads.erase(m_queuedLoads.begin());
             if (m_losses[instance] != 0 || m_states[instance].confirmed.value() != number) {
                 continue;
             }
@@ -273,13 +276,13 @@
     {
         int serving = 0;
         for (const auto &group : m_allotted.groups) {
-            serving += standingOf(group, m_tracker) == group_standing::serving ? 1 : 0;
+            serving += groupStateOf(group, m_tracker) == group_state::serving ? 1 : 0;
         }
         return serving;
     }
 
-    /// Adds up the time since the last event.
-    void account(instant until)
+    /// Adds the time since the last event to the totals.
+    void accumulate(instant until)
     {
         const auto hours = static_cast<double>((until - m_now).count()) / 1000 / secondsPerHour;
         if (hours <= 0) {
@@ -296,15 +299,15 @@
                     ++healthyInstances;
                 }
             }
-            int room = 0;
+            int capacity = 0;
             for (const auto &[domain, count] : healthy) {
-                room += count / m_size.instancesPerReplica;
+                capacity += count / m_size.instancesPerReplica;
             }
             const auto idle = healthyInstances - serving * m_size.instancesPerReplica;
             m_result.downtimeGroupHours += hours * missing;
             m_result.strandedAcceleratorHours
                 += hours * std::min(idle, missing * m_size.instancesPerReplica) * m_size.acceleratorsPerInstance;
-            m_result.boundGroupHours += hours * std::max(0, *m_wants->front().replicas - room);
+            m_result.minGroupHours += hours * std::max(0, *m_wants->front().replicas - capacity);
         }
         m_now = until;
     }
@@ -318,11 +321,11 @@
     std::vector<std::uint64_t> m_losses;
     instance_tracker m_tracker;
     allotment m_allotted;
-    std::map<instance_id, instant> m_notBefore;
+    std::map<instance_id, instant> m_reusableFrom;
     std::priority_queue<trace_event, std::vector<trace_event>, std::greater<>> m_events;
-    std::vector<std::pair<std::size_t, std::uint64_t>> m_waitingLoads;
+    std::vector<std::pair<std::size_t, std::uint64_t>> m_queuedLoads;
     int m_activeLoads = 0;
-    std::uint64_t m_order = 0;
+    std::uint64_t m_lastSequence = 0;
     std::uint64_t m_lastLoss = 0;
     std::uint64_t m_runs = 1;
     bool m_isReplanDue = false;
@@ -335,8 +338,8 @@
 {
     total.downtimeGroupHours += part.downtimeGroupHours;
     total.strandedAcceleratorHours += part.strandedAcceleratorHours;
-    total.boundGroupHours += part.boundGroupHours;
-    total.boundAcceleratorHours += part.boundAcceleratorHours;
+    total.minGroupHours += part.minGroupHours;
+    total.minAcceleratorHours += part.minAcceleratorHours;
     total.losses += part.losses;
     total.writes += part.writes;
     total.planningSeconds += part.planningSeconds;
@@ -350,11 +353,13 @@
     trace_result total;
     for (int dataCentre = 0; dataCentre < size.dataCentres; ++dataCentre) {
         const auto replicas = size.replicas / size.dataCentres + (dataCentre < size.replicas % size.dataCentres ? 1 : 0);
-        const auto racks = size.racksPerMonth / size.dataCentres + (dataCentre < size.racksPerMonth % size.dataCentres ? 1 : 0);
+        const auto rackOutages = size.rackOutages / size.dataCentres + (dataCentre < size.rackOutages % size.dataCentres ? 1 : 0);
         data_centre_replay replay(size, profile, plan, replicas, seed + static_cast<std::uint64_t>(dataCentre));
         add(total,
-            replay.run(
-                size.failuresPerDay / size.dataCentres, size.restartsPerDay / size.dataCentres, racks, dataCentre < size.dataCentreLosses));
+            replay.run(size.failuresPerDay / size.dataCentres,
+                       size.restartsPerDay / size.dataCentres,
+                       rackOutages,
+                       dataCentre < size.dataCentreLosses));
     }
     return total;
 }
--- a/Benchmarks/naivePlanner.cpp
+++ b/Benchmarks/naivePlanner.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "Benchmarks/naivePlanner.h"
 
-#include "Libraries/Groups/group_standing.h"
-#include "Libraries/Groups/planning_table.h"
+#include "Libraries/Groups/group_state.h"
+#include "Libraries/Groups/planning_round.h"
 
 #include <fmt/format.h>
 
@@ -12,26 +12,26 @@
 
 namespace {
 
-constexpr duration patience(600000);
+constexpr duration replacementDelay(600000);
 
-std::vector<instance_id> firstOf(const std::set<instance_id> &free, std::size_t count)
+std::vector<instance_id> firstInstances(const std::set<instance_id> &free, std::size_t count)
 {
     return {free.begin(), std::next(free.begin(), static_cast<std::ptrdiff_t>(count))};
 }
 
-void rebuild(planning_table &table, allotted_group &group)
+void rebuildElsewhere(planning_round &round, allotted_group &group)
 {
-    for (auto &[id, domain] : table.domains) {
+    for (auto &[id, domain] : round.domains) {
         if (domain.free.size() >= group.members.size()) {
             const auto previous = group.members;
             group.members.clear();
-            for (const auto &instance : firstOf(domain.free, previous.size())) {
-                group.members.push_back(takeInstance(table, instance));
+            for (const auto &instance : firstInstances(domain.free, previous.size())) {
+                group.members.push_back(allocateInstance(round, instance));
             }
             for (const auto &member : previous) {
-                releaseInstance(table, member, true);
+                releaseInstance(round, member, true);
             }
-            group.current = takeGeneration(table);
+            group.current = nextGeneration(round);
             return;
         }
     }
@@ -42,49 +42,49 @@
 planning_result planNaively(const planning_input &input, std::uint64_t seed)
 {
     const planning_policy policy;
-    auto table = makePlanningTable(input, policy);
+    auto round = makePlanningRound(input, policy);
     std::mt19937_64 random(seed + static_cast<std::uint64_t>(input.now.time_since_epoch().count()));
-    for (auto &group : table.next.groups) {
+    for (auto &group : round.next.groups) {
         for (const auto rank : missingRanks(group, input.tracker)) {
             const auto *tracked = findInstance(input.tracker, group.members[rank].instance);
-            if (tracked != nullptr && tracked->missingSince && input.now - *tracked->missingSince < patience) {
+            if (tracked != nullptr && tracked->missingSince && input.now - *tracked->missingSince < replacementDelay) {
                 continue;
             }
-            auto &free = table.domains[group.members.front().domain].free;
+            auto &free = round.domains[group.members.front().domain].free;
             if (free.empty()) {
-                rebuild(table, group);
+                rebuildElsewhere(round, group);
                 break;
             }
-            const auto place = static_cast<std::ptrdiff_t>(random() % free.size());
-            group.members[rank] = takeInstance(table, *std::next(free.begin(), place));
-            group.current = takeGeneration(table);
+            const auto index = static_cast<std::ptrdiff_t>(random() % free.size());
+            group.members[rank] = allocateInstance(round, *std::next(free.begin(), index));
+            group.current = nextGeneration(round);
         }
     }
     for (const auto &want : *input.wants) {
         int present = 0;
-        for (const auto &group : table.next.groups) {
+        for (const auto &group : round.next.groups) {
             present += group.deployment == want.wanted.id ? 1 : 0;
         }
         const auto size = static_cast<std::size_t>(want.wanted.instancesPerReplica);
-        for (auto &[id, domain] : table.domains) {
+        for (auto &[id, domain] : round.domains) {
             while (present < want.replicas.value_or(0) && domain.free.size() >= size) {
                 allotted_group group;
                 group.deployment = want.wanted.id;
                 group.choice = {want.wanted.model, want.wanted.adapter, want.wanted.version};
                 group.enginesCheckFencing = true;
-                group.current = takeGeneration(table);
+                group.current = nextGeneration(round);
                 group.id = group_id(fmt::format("{}-{}", want.wanted.id.value(), group.current.value()));
-                for (const auto &instance : firstOf(domain.free, size)) {
-                    group.members.push_back(takeInstance(table, instance));
+                for (const auto &instance : firstInstances(domain.free, size)) {
+                    group.members.push_back(allocateInstance(round, instance));
                 }
-                table.next.groups.push_back(std::move(group));
+                round.next.groups.push_back(std::move(group));
                 ++present;
             }
         }
     }
     planning_result result;
-    result.hasChanged = table.next.groups != input.current.groups;
-    result.next = std::move(table.next);
+    result.hasChanged = round.next.groups != input.current.groups;
+    result.next = std::move(round.next);
     return result;
 }
 
--- a/Benchmarks/naivePlanner.h
+++ b/Benchmarks/naivePlanner.h
@@ -5,8 +5,9 @@
 
 namespace vetchpost::bench {
 
-/// The baseline: first fit, wait for the member, then replace it at random, else build the group anew in the first domain with
-/// room. No priorities, no donors, no limit on loads.
+/// Baseline planner. Forms groups by first fit. A member that has been missing for ten minutes is replaced by a random free instance of
+/// its group's domain; if there is none, the group is rebuilt in the first domain with enough free instances. Ignores priorities, takes
+/// no members from other groups and does not limit loads. Decisions are not recorded.
 planning_result planNaively(const planning_input &input, std::uint64_t seed);
 
 } // namespace vetchpost::bench
--- a/Libraries/Daemon/cluster_queries.cpp
+++ b/Libraries/Daemon/cluster_queries.cpp
@@ -102,7 +102,7 @@
     for (const auto &group : d->allotted.groups) {
         group_status status;
         status.group = group;
-        status.standing = standingOf(group, d->tracker);
+        status.standing = groupStateOf(group, d->tracker);
         for (std::size_t rank = 0; rank < group.members.size(); ++rank) {
             if (!hasConfirmed(group, rank, d->tracker)) {
                 const auto *tracked = findInstance(d->tracker, group.members[rank].instance);
@@ -167,7 +167,7 @@
         }
     }
     for (const auto &group : d->allotted.groups) {
-        if (standingOf(group, d->tracker) == group_standing::serving) {
+        if (groupStateOf(group, d->tracker) == group_state::serving) {
             summary.groups.push_back({group.id, group.deployment, group.current, group.members.front().address});
         }
     }
--- a/Libraries/Daemon/cluster_state.cpp
+++ b/Libraries/Daemon/cluster_state.cpp
@@ -62,7 +62,7 @@
 bool cluster_state::observe(const instance_observation &observation, instant now)
 {
     const std::lock_guard lock(d->mutex);
-    const bool hasChanged = takeObservation(d->tracker, observation, now);
+    const bool hasChanged = applyObservation(d->tracker, observation, now);
     tellObservation(d->exchange, d->toldStates, observation, now);
     d->isDirty = true;
     return hasChanged;
--- a/Libraries/Daemon/cluster_state.h
+++ b/Libraries/Daemon/cluster_state.h
@@ -6,7 +6,7 @@
 #include "Libraries/Daemon/data_centre_summary.h"
 #include "Libraries/Daemon/routing_snapshot.h"
 #include "Libraries/Groups/allotment.h"
-#include "Libraries/Groups/group_standing.h"
+#include "Libraries/Groups/group_state.h"
 #include "Libraries/Groups/instance_tracker.h"
 #include "Libraries/Groups/planning.h"
 #include "Libraries/Peers/exchange.h"
@@ -45,7 +45,7 @@
 struct group_status
 {
     allotted_group group;
-    group_standing standing = group_standing::broken;
+    group_state standing = group_state::broken;
     /// What is awaited of each member that has not confirmed.
     std::vector<std::string> awaited;
     duration standingFor{};
--- a/Libraries/Daemon/cluster_state_data.cpp
+++ b/Libraries/Daemon/cluster_state_data.cpp
@@ -83,7 +83,7 @@
     } else if (name == exchange_names::allotment) {
         takeAllotment(value);
     } else if (name == exchange_names::instanceList) {
-        takeList(tracker, instanceListFrom(value.value));
+        applyInstanceList(tracker, instanceListFrom(value.value));
     } else if (name.starts_with(exchange_names::summaryPrefix)) {
         takeSummary(value, now);
     } else if (name.starts_with(exchange_names::alivePrefix)) {
@@ -110,7 +110,7 @@
         }
     }
     for (const auto &observation : observations) {
-        takeObservation(tracker, observation, now);
+        applyObservation(tracker, observation, now);
     }
 }
 
@@ -135,14 +135,14 @@
     std::set<group_id> present;
     for (const auto &group : allotted.groups) {
         present.insert(group.id);
-        const auto standing = standingOf(group, tracker);
+        const auto standing = groupStateOf(group, tracker);
         const auto [known, isNew] = standings.try_emplace(group.id, seen_standing{standing, now});
         if (!isNew && known->second.standing != standing) {
             clusterLog.info("A group changed its standing. group={} generation={} from={} to={}",
                             group.id.value(),
                             group.current.value(),
-                            groupStandingName(known->second.standing),
-                            groupStandingName(standing));
+                            groupStateName(known->second.standing),
+                            groupStateName(standing));
             known->second = {standing, now};
         }
     }
@@ -151,16 +151,16 @@
 
 bool cluster_state::private_data::areSharesKnown(instant now) const
 {
-    return tracker.hasList && startedAt && now - *startedAt >= shareSettleTime;
+    return tracker.hasInstanceList && startedAt && now - *startedAt >= shareSettleTime;
 }
 
 int cluster_state::private_data::shareOf(const deployment &wantedDeployment, const data_centre_summary &own, instant now) const
 {
     const auto size = wantedDeployment.instancesPerReplica;
-    std::vector<data_centre_offer> offers = {{own.dataCentre, wholeGroupRoom(own.domainSizes, size)}};
+    std::vector<data_centre_capacity> offers = {{own.dataCentre, wholeGroupCapacity(own.domainSizes, size)}};
     for (const auto &[dataCentre, summary] : summaries) {
         if (!isLost(dataCentre, now)) {
-            offers.push_back({dataCentre, wholeGroupRoom(summary.domainSizes, size)});
+            offers.push_back({dataCentre, wholeGroupCapacity(summary.domainSizes, size)});
         }
     }
     for (const auto &share : shareReplicas(wantedDeployment.replicas, offers)) {
--- a/Libraries/Daemon/cluster_state_data.h
+++ b/Libraries/Daemon/cluster_state_data.h
@@ -13,7 +13,7 @@
 /// How a group stood when it was last looked at, and since when.
 struct seen_standing
 {
-    group_standing standing = group_standing::broken;
+    group_state standing = group_state::broken;
     instant since;
 };
 
--- a/Libraries/Daemon/coordinator_runner.cpp
+++ b/Libraries/Daemon/coordinator_runner.cpp
@@ -159,7 +159,7 @@
     void perform(const acquire_coordination & /*call*/)
     {
         acquisition_answer answer;
-        answer.asked = monotonicNow();
+        answer.calledAt = monotonicNow();
         reason why;
         const auto lease = keyValue.grantLease(settings.leaseTime, why);
         if (lease) {
@@ -174,7 +174,7 @@
     void perform(const renew_coordination &call)
     {
         renewal_answer answer;
-        answer.asked = monotonicNow();
+        answer.calledAt = monotonicNow();
         reason why;
         answer.isRenewed = keyValue.renewLease(call.lease, why);
         handle(answer);
@@ -208,7 +208,7 @@
         bool isAllowed = false;
         {
             const std::lock_guard lock(mutex);
-            isAllowed = mayOrder(coordinator, monotonicNow());
+            isAllowed = maySendOrders(coordinator, monotonicNow());
         }
         if (isAllowed) {
             orders.increment();
@@ -248,7 +248,7 @@
 
     void publishSummary(instant now)
     {
-        if (!cluster.tracker().hasList) {
+        if (!cluster.tracker().hasInstanceList) {
             // Without the list it would tell the other data centres that there is no room here, and they would take the replicas over.
             return;
         }
--- a/Libraries/Daemon/group_metrics.cpp
+++ b/Libraries/Daemon/group_metrics.cpp
@@ -12,9 +12,9 @@
     return std::chrono::duration<double>(to - from).count();
 }
 
-gauge standingGauge(metrics &counters, group_standing standing)
+gauge standingGauge(metrics &counters, group_state standing)
 {
-    return counters.addGauge("vetchpost_groups", "Groups of the data centre.", {{"standing", std::string(groupStandingName(standing))}});
+    return counters.addGauge("vetchpost_groups", "Groups of the data centre.", {{"standing", std::string(groupStateName(standing))}});
 }
 
 /// The accelerators of instances that answer and are not part of a serving group.
@@ -25,7 +25,7 @@
         idle += tracked.isAnswering() && tracked.listed.service.empty() ? tracked.listed.accelerators : 0;
     }
     for (const auto &status : groups) {
-        if (status.standing != group_standing::serving && status.standing != group_standing::draining) {
+        if (status.standing != group_state::serving && status.standing != group_state::draining) {
             continue;
         }
         for (const auto &member : status.group.members) {
@@ -39,10 +39,10 @@
 } // namespace
 
 group_metrics::group_metrics(metrics &counters)
-    : m_groups{standingGauge(counters, group_standing::serving),
-               standingGauge(counters, group_standing::draining),
-               standingGauge(counters, group_standing::forming),
-               standingGauge(counters, group_standing::broken)}
+    : m_groups{standingGauge(counters, group_state::serving),
+               standingGauge(counters, group_state::draining),
+               standingGauge(counters, group_state::forming),
+               standingGauge(counters, group_state::broken)}
     , m_missing(counters.addGauge("vetchpost_missing_replicas", "Wanted replicas that do not serve."))
     , m_stranded(counters.addGauge("vetchpost_stranded_accelerators", "Healthy idle accelerators while a wanted replica is missing."))
     , m_downtime(counters.addCounter("vetchpost_group_downtime_seconds_total", "Seconds of wanted replicas that did not serve."))
@@ -55,7 +55,7 @@
 void group_metrics::noteRepairs(const std::vector<group_status> &groups, instant now)
 {
     for (const auto &status : groups) {
-        const bool isUp = status.standing == group_standing::serving || status.standing == group_standing::draining;
+        const bool isUp = status.standing == group_state::serving || status.standing == group_state::draining;
         const auto down = m_downSince.find(status.group.id);
         if (isUp && down != m_downSince.end()) {
             m_repairs.observe(secondsBetween(down->second, now));
@@ -75,7 +75,7 @@
     std::map<deployment_id, int> serving;
     for (const auto &status : groups) {
         ++standings.at(static_cast<std::size_t>(status.standing));
-        serving[status.group.deployment] += status.standing == group_standing::serving ? 1 : 0;
+        serving[status.group.deployment] += status.standing == group_state::serving ? 1 : 0;
     }
     int missing = 0;
     int missingInstances = 0;
--- a/Libraries/Daemon/instance_words.cpp
+++ b/Libraries/Daemon/instance_words.cpp
@@ -28,7 +28,8 @@
                      instant now)
 {
     auto &last = told[observation.instance];
-    const bool mayWait = observation.state && last.state && !isNews(*last.state, *observation.state) && now - last.at < loadPeriod;
+    const bool mayWait
+        = observation.state && last.state && !needsImmediateReport(*last.state, *observation.state) && now - last.at < loadPeriod;
     if (mayWait) {
         return;
     }
--- a/Libraries/Daemon/operator_interface.cpp
+++ b/Libraries/Daemon/operator_interface.cpp
@@ -66,7 +66,7 @@
     json["group"] = status.group.id.value();
     json["deployment"] = status.group.deployment.value();
     json["generation"] = Json::UInt64(status.group.current.value());
-    json["standing"] = std::string(groupStandingName(status.standing));
+    json["standing"] = std::string(groupStateName(status.standing));
     json["standing_seconds"] = Json::Int64(std::chrono::duration_cast<std::chrono::seconds>(status.standingFor).count());
     json["domain"] = status.group.members.front().domain.value();
     json["model"] = status.group.choice.model;
@@ -216,7 +216,7 @@
         for (const auto &want : wants.value_or(std::vector<deployment_want>())) {
             int serving = 0;
             for (const auto &status : groups) {
-                serving += status.group.deployment == want.wanted.id && status.standing == group_standing::serving ? 1 : 0;
+                serving += status.group.deployment == want.wanted.id && status.standing == group_state::serving ? 1 : 0;
             }
             if (want.replicas && serving < *want.replicas) {
                 Json::Value entry;
--- a/Libraries/Daemon/snapshot_builder.cpp
+++ b/Libraries/Daemon/snapshot_builder.cpp
@@ -2,7 +2,7 @@
 #include "Libraries/Daemon/snapshot_builder.h"
 
 #include "Libraries/Base/digest.h"
-#include "Libraries/Groups/group_standing.h"
+#include "Libraries/Groups/group_state.h"
 
 #include <algorithm>
 
@@ -70,7 +70,7 @@
 {
     for (const auto &group : input.allotted.groups) {
         // Only a group of which every member has confirmed this very generation is ever sent work.
-        if (group.deployment != routes.deployment || standingOf(group, input.tracker) != group_standing::serving) {
+        if (group.deployment != routes.deployment || groupStateOf(group, input.tracker) != group_state::serving) {
             continue;
         }
         replica_route route{group.id, group.current, group.members.front().address, hashOf(group.id.value()), {}, nullptr};
--- a/Libraries/Groups/allotment.cpp
+++ b/Libraries/Groups/allotment.cpp
@@ -21,11 +21,11 @@
     json["draining_since"] = Json::UInt64(static_cast<std::uint64_t>(group.drainingSince));
     json["members"] = Json::Value(Json::arrayValue);
     for (const auto &member : group.members) {
-        Json::Value place(Json::arrayValue);
-        place.append(member.instance.value());
-        place.append(member.address.text());
-        place.append(member.domain.value());
-        json["members"].append(place);
+        Json::Value memberFields(Json::arrayValue);
+        memberFields.append(member.instance.value());
+        memberFields.append(member.address.text());
+        memberFields.append(member.domain.value());
+        json["members"].append(memberFields);
     }
     return json;
 }
@@ -39,13 +39,14 @@
     group.choice = modelChoiceFrom(json["choice"]);
     group.enginesCheckFencing = jsonFlag(json, "checks_fencing");
     group.drainingSince = static_cast<std::int64_t>(jsonNumber(json, "draining_since"));
-    for (const auto &place : jsonArray(json, "members")) {
+    for (const auto &memberFields : jsonArray(json, "members")) {
         constexpr Json::ArrayIndex fields = 3;
-        const auto address = place.isArray() && place.size() == fields ? parseEndpoint(place[1].asString()) : std::nullopt;
+        const auto address
+            = memberFields.isArray() && memberFields.size() == fields ? parseEndpoint(memberFields[1].asString()) : std::nullopt;
         if (!address) {
             return std::nullopt;
         }
-        group.members.push_back({instance_id(place[0].asString()), *address, fabric_domain_id(place[2].asString())});
+        group.members.push_back({instance_id(memberFields[0].asString()), *address, fabric_domain_id(memberFields[2].asString())});
     }
     return group;
 }
@@ -117,17 +118,17 @@
     std::set<group_id> names;
     for (const auto &group : value.groups) {
         if (!names.insert(group.id).second) {
-            return fmt::format("group {} stands twice", group.id.value());
+            return fmt::format("group {} is listed twice", group.id.value());
         }
         if (group.members.empty()) {
             return fmt::format("group {} has no members", group.id.value());
         }
         if (group.current > value.lastGeneration) {
-            return fmt::format("group {} has a generation of the future", group.id.value());
+            return fmt::format("the generation of group {} is above the last generation", group.id.value());
         }
         for (const auto &member : group.members) {
             if (!placed.insert(member.instance).second) {
-                return fmt::format("instance {} stands in two places", member.instance.value());
+                return fmt::format("instance {} has more than one membership", member.instance.value());
             }
         }
     }
--- a/Libraries/Groups/allotment.h
+++ b/Libraries/Groups/allotment.h
@@ -12,7 +12,7 @@
 
 namespace vetchpost {
 
-/// One instance's place in a group; its rank is its place in the list.
+/// One instance's membership in a group. Its rank is its index in allotted_group::members.
 struct allotted_member
 {
     instance_id instance;
@@ -22,39 +22,41 @@
     auto operator<=>(const allotted_member &) const = default;
 };
 
-/// One replica group as it is meant to be.
+/// The desired state of one replica group.
 struct allotted_group
 {
     group_id id;
     deployment_id deployment;
-    /// The fencing number of this group's last change.
+    /// Generation of the group's last change. Orders carry it as their fencing number.
     generation current;
     model_choice choice;
     bool enginesCheckFencing = false;
-    /// Gets no new work; it is changed or removed once its work has ended. Calendar time in milliseconds, 0 for none.
+    /// When draining began, in milliseconds of calendar time; 0 if the group is not draining. A draining group gets no new work and is
+    /// changed or removed once its work has ended.
     std::int64_t drainingSince = 0;
     std::vector<allotted_member> members;
 
     auto operator<=>(const allotted_group &) const = default;
 };
 
-/// An instance that an old order may still reach and whose engine would obey it.
+/// An instance that must not be reused yet: an old order may still reach it, and its engine does not check fencing numbers.
 struct withheld_instance
 {
     instance_id instance;
-    /// The epoch in which it was withheld. The wait is counted by the coordinator's own clock from when it learned of it.
+    /// The epoch in which it was withheld. The waiting time is measured by the coordinator's own clock, from when it learned of the entry.
     epoch since;
 
     auto operator<=>(const withheld_instance &) const = default;
 };
 
-/// Which instances make up the groups of one data centre: the value in the key-value service that all else follows.
+/// Assigns the instances of one data centre to groups. The value in the key-value service is authoritative; orders and routing are
+/// derived from it.
 struct allotment
 {
-    /// Rises with every coordinator that takes over.
+    /// Incremented by every coordinator that takes over.
     epoch current;
     daemon_id coordinator;
-    /// Rises with every write, over all epochs: the source of the groups' generations.
+    /// Incremented by every write, across all epochs. The groups' generations are taken from it.
     generation lastGeneration;
     std::vector<allotted_group> groups;
     std::vector<withheld_instance> withheld;
@@ -63,14 +65,15 @@
     auto operator<=>(const allotment &) const = default;
 };
 
-/// The key of a data centre's allotment in the key-value service.
+/// Returns the key of a data centre's allotment in the key-value service.
 std::string allotmentKey(const data_centre_id &dataCentre);
+/// Serialises an allotment as JSON.
 std::string toText(const allotment &value);
-/// Nothing where the text is no allotment. The empty text is the empty allotment.
+/// Parses an allotment. Empty text gives an empty allotment; returns nothing for text that is not a valid allotment.
 std::optional<allotment> allotmentFrom(const std::string &text);
 
-/// What is wrong with an allotment; nothing where it may be written: no instance stands twice, names and generations are
-/// unique, no group is empty.
+/// Describes why an allotment must not be written, or returns nothing if it may be: each instance has at most one membership, group ids
+/// are unique, no group is empty, and no group's generation exceeds the last generation.
 std::optional<std::string> allotmentProblem(const allotment &value);
 
 } // namespace vetchpost
--- a/Libraries/Groups/coordinator.cpp
+++ b/Libraries/Groups/coordinator.cpp
@@ -2,7 +2,7 @@
 #include "Libraries/Groups/coordinator.h"
 
 #include "Libraries/Base/digest.h"
-#include "Libraries/Groups/group_standing.h"
+#include "Libraries/Groups/group_state.h"
 
 #include <algorithm>
 #include <set>
@@ -13,7 +13,7 @@
 
 using actions = std::vector<coordinator_action>;
 
-/// Decides one step. The numbers are those of docs/design/GROUPS.md.
+/// Handles one event. Numbers at the start of comments refer to the rules in docs/design/GROUPS.md.
 class coordinator_step
 {
 public:
@@ -25,17 +25,17 @@
 
     actions operator()(const coordinator_tick & /*event*/)
     {
-        if (m_state.phase != coordinator_phase::follower && m_state.phase != coordinator_phase::acquiring && !holdsLease()) {
+        if (m_state.phase != coordinator_phase::follower && m_state.phase != coordinator_phase::acquiring && !isLeaseValid()) {
             stepDown();
         }
         if (m_state.isCalling) {
             return sendOrders();
         }
-        if (m_view.now < m_state.nextTry) {
+        if (m_view.now < m_state.nextAttempt) {
             return sendOrders();
         }
         if (m_state.phase == coordinator_phase::follower) {
-            return acquire();
+            return acquireLease();
         }
         if (isRenewalDue()) {
             return call(renew_coordination{m_state.lease});
@@ -54,12 +54,12 @@
         m_state.isCalling = false;
         if (!event.isAcquired) {
             m_state.phase = coordinator_phase::follower;
-            pauseLonger();
+            backOff();
             return {};
         }
-        m_state.failedTries = 0;
+        m_state.failedAttempts = 0;
         m_state.lease = event.lease;
-        m_state.leaseUntil = event.asked + m_state.settings.leaseTime;
+        m_state.leaseUntil = event.calledAt + m_state.settings.leaseTime;
         m_state.phase = coordinator_phase::reading;
         m_state.mustRead = true;
         return {};
@@ -72,15 +72,15 @@
             return {};
         }
         if (!event.isRenewed) {
-            pause();
+            delayNextAttempt();
             return {};
         }
         if (!*event.isRenewed) {
             stepDown();
             return {};
         }
-        // The lease counts from before the call was made: the service may have started counting then.
-        m_state.leaseUntil = event.asked + m_state.settings.leaseTime;
+        // The service may have started the lease's term as early as the moment before the call.
+        m_state.leaseUntil = event.calledAt + m_state.settings.leaseTime;
         return {};
     }
 
@@ -92,11 +92,11 @@
         }
         const auto value = event.isRead ? allotmentFrom(event.entry.value) : std::nullopt;
         if (!value) {
-            pause();
+            delayNextAttempt();
             return {};
         }
         m_state.mustRead = false;
-        m_state.isInDoubt = m_state.isInDoubt && event.entry.changed == m_state.acceptedRevision;
+        m_state.isWriteUnconfirmed = m_state.isWriteUnconfirmed && event.entry.changed == m_state.acceptedRevision;
         const bool isOurs = value->coordinator == m_state.settings.self && value->current == m_state.accepted.current
             && m_state.phase == coordinator_phase::active;
         if (m_state.phase == coordinator_phase::active && !isOurs) {
@@ -112,33 +112,33 @@
     {
         m_state.isCalling = false;
         if (!m_state.pending) {
-            // The lease ended while the write was under way: whatever came of it, it is no longer this daemon's to use.
+            // This daemon stepped down while the write was in progress, so its outcome no longer matters here.
             return {};
         }
         switch (event.result.outcome) {
         case swap_outcome::applied:
             accept(*m_state.pending, event.result.changed);
-            m_state.isInDoubt = false;
+            m_state.isWriteUnconfirmed = false;
             if (m_state.phase != coordinator_phase::active) {
                 m_state.activeSince = m_view.now;
             }
             m_state.phase = coordinator_phase::active;
             return sendOrders();
         case swap_outcome::conflict:
-            // Somebody else wrote, or an earlier write of ours took effect after all: only reading tells.
+            // Another daemon wrote, or an earlier write of this one took effect late. Reading the allotment shows which.
             m_state.mustRead = true;
             return {};
         case swap_outcome::unknown:
             m_state.mustRead = true;
-            m_state.isInDoubt = true;
-            pause();
+            m_state.isWriteUnconfirmed = true;
+            delayNextAttempt();
             return {};
         case swap_outcome::not_sent:
             m_state.pending.reset();
             if (m_state.phase == coordinator_phase::taking_over) {
                 m_state.phase = coordinator_phase::reading;
             }
-            pause();
+            delayNextAttempt();
             return {};
         }
         return {};
@@ -148,13 +148,13 @@
     {
         const auto found = m_state.orders.find(event.instance);
         if (found != m_state.orders.end() && found->second.ordered == event.ordered) {
-            found->second.isUnderWay = false;
+            found->second.isInFlight = false;
         }
         return {};
     }
 
 private:
-    bool holdsLease() const
+    bool isLeaseValid() const
     {
         return m_view.now + m_state.settings.margin < m_state.leaseUntil;
     }
@@ -166,21 +166,21 @@
         return since >= m_state.settings.leaseTime / renewalsPerLease;
     }
 
-    void pause()
+    void delayNextAttempt()
     {
-        m_state.nextTry = m_view.now + m_state.settings.retryPause;
+        m_state.nextAttempt = m_view.now + m_state.settings.retryPause;
     }
 
-    /// After a failed try to become coordinator: twice as long each time and not in step with the others, so that the service is not
-    /// met by all daemons at once when it comes back.
-    void pauseLonger()
+    /// Delays the next attempt to become coordinator by exponential backoff with jitter, so that the daemons don't all call the key-value
+    /// service at once when it recovers.
+    void backOff()
     {
-        constexpr int mostDoublings = 4;
-        const auto longest = m_state.settings.retryPause * (1 << std::min(m_state.failedTries, mostDoublings));
-        ++m_state.failedTries;
-        const auto spread = hashOf(m_state.settings.self.value(), static_cast<std::uint64_t>(m_state.failedTries));
-        m_state.nextTry
-            = m_view.now + longest / 2 + duration(static_cast<std::int64_t>(spread % static_cast<std::uint64_t>(longest.count() / 2 + 1)));
+        constexpr int maxDoublings = 4;
+        const auto maxDelay = m_state.settings.retryPause * (1 << std::min(m_state.failedAttempts, maxDoublings));
+        ++m_state.failedAttempts;
+        const auto jitter = hashOf(m_state.settings.self.value(), static_cast<std::uint64_t>(m_state.failedAttempts));
+        m_state.nextAttempt = m_view.now + maxDelay / 2
+            + duration(static_cast<std::int64_t>(jitter % static_cast<std::uint64_t>(maxDelay.count() / 2 + 1)));
     }
 
     void stepDown()
@@ -188,9 +188,9 @@
         m_state.phase = coordinator_phase::follower;
         m_state.pending.reset();
         m_state.mustRead = false;
-        m_state.isInDoubt = false;
+        m_state.isWriteUnconfirmed = false;
         m_state.orders.clear();
-        pause();
+        delayNextAttempt();
     }
 
     actions call(coordinator_action action)
@@ -201,11 +201,11 @@
         return result;
     }
 
-    actions acquire()
+    actions acquireLease()
     {
         if (m_view.isAnotherActive) {
-            m_state.failedTries = 0;
-            pause();
+            m_state.failedAttempts = 0;
+            delayNextAttempt();
             return {};
         }
         m_state.phase = coordinator_phase::acquiring;
@@ -213,24 +213,24 @@
         return {acquire_coordination{}};
     }
 
-    /// 2. The first write of a coordinator raises the epoch, so that every write of the one before it conflicts.
+    /// 2. Writes the allotment with the next epoch, so that any later write of the previous coordinator conflicts.
     actions takeOver()
     {
         auto next = m_state.accepted;
         next.current = next.current.next();
         next.coordinator = m_state.settings.self;
         next.lastGeneration = next.lastGeneration.next();
-        // 4. Orders of the coordinators before may still be on their way for as long as the last of them can have believed
-        // in its lease, and a message may be under way after that.
+        // 4. Orders of previous coordinators may still arrive: the last one may have sent orders until its lease expired, and a message
+        // takes up to orderTimeout.
         const auto wait = m_view.now + m_state.settings.leaseTime + m_state.settings.orderTimeout + m_state.settings.margin;
-        m_state.notBefore.clear();
+        m_state.reusableFrom.clear();
         for (const auto &entry : next.withheld) {
-            m_state.notBefore[entry.instance] = wait;
+            m_state.reusableFrom[entry.instance] = wait;
         }
         for (const auto &group : next.groups) {
             for (const auto &member : group.members) {
                 if (!group.enginesCheckFencing) {
-                    m_state.notBefore[member.instance] = wait;
+                    m_state.reusableFrom[member.instance] = wait;
                 }
             }
         }
@@ -250,7 +250,7 @@
                                    m_view.tracker,
                                    m_view.wants,
                                    m_view.store,
-                                   m_state.notBefore,
+                                   m_state.reusableFrom,
                                    m_view.now,
                                    m_view.calendarNow,
                                    m_state.settings.dataCentre,
@@ -261,18 +261,18 @@
             return sendOrders();
         }
         if (!result.hasChanged) {
-            if (!m_state.isInDoubt) {
+            if (!m_state.isWriteUnconfirmed) {
                 return sendOrders();
             }
-            // 3. A write in doubt could take effect long after this daemon went on without it. One more write raises the
-            // revision, so that it no longer can.
+            // 3. An unconfirmed write could take effect long after this daemon has moved on. Another write raises the revision, so that
+            // the unconfirmed one conflicts.
             result.next.lastGeneration = result.next.lastGeneration.next();
         }
-        // 3. The intent is written before any order of it goes out.
+        // 3. The allotment is written before any order that follows from it is sent.
         return write(std::move(result.next));
     }
 
-    /// Takes the value itself: it may be the pending one, which ends here.
+    /// Records an allotment as the stored one. Takes it by value, since it may be m_state.pending, which is reset here.
     void accept(allotment value, key_revision changed)
     {
         m_state.accepted = std::move(value);
@@ -280,34 +280,35 @@
         m_state.pending.reset();
         const auto wait = m_view.now + m_state.settings.orderTimeout + m_state.settings.margin;
         for (const auto &entry : m_state.accepted.withheld) {
-            m_state.notBefore.emplace(entry.instance, wait);
+            m_state.reusableFrom.emplace(entry.instance, wait);
         }
-        std::erase_if(m_state.notBefore, [&](const auto &entry) { return entry.second + m_state.settings.leaseTime < m_view.now; });
+        std::erase_if(m_state.reusableFrom, [&](const auto &entry) { return entry.second + m_state.settings.leaseTime < m_view.now; });
     }
 
-    /// 3. Orders follow the accepted allotment alone, to every member that has not confirmed its place.
+    /// 3. Creates orders from the accepted allotment alone: one for each member that has not accepted its membership yet, and a release
+    /// for each instance without a membership.
     actions sendOrders()
     {
         actions result;
-        if (!mayOrder(m_state, m_view.now)) {
+        if (!maySendOrders(m_state, m_view.now)) {
             return result;
         }
         std::set<instance_id> placed;
         for (const auto &group : m_state.accepted.groups) {
             for (std::size_t rank = 0; rank < group.members.size(); ++rank) {
                 placed.insert(group.members[rank].instance);
-                orderMember(group, rank, result);
+                queueMemberOrder(group, rank, result);
             }
         }
-        releaseStrays(placed, result);
+        releaseUnassigned(placed, result);
         return result;
     }
 
-    void orderMember(const allotted_group &group, std::size_t rank, actions &result)
+    void queueMemberOrder(const allotted_group &group, std::size_t rank, actions &result)
     {
         const auto &member = group.members[rank];
         const auto *tracked = findInstance(m_view.tracker, member.instance);
-        if (tracked == nullptr || !tracked->isAnswering() || isOrdered(*tracked->lastState, group, rank)) {
+        if (tracked == nullptr || !tracked->isAnswering() || hasAcceptedOrder(*tracked->lastState, group, rank)) {
             return;
         }
         engine_order order;
@@ -319,38 +320,38 @@
         for (const auto &other : group.members) {
             order.members.push_back(other.address);
         }
-        send(member.address, std::move(order), result);
+        queueOrder(member.address, std::move(order), result);
     }
 
-    /// Whether the instance has taken the order, though it may still load.
-    static bool isOrdered(const engine_state &state, const allotted_group &group, std::size_t rank)
+    /// Whether the instance has accepted the order for this rank. It may still be loading its weights.
+    static bool hasAcceptedOrder(const engine_state &state, const allotted_group &group, std::size_t rank)
     {
         return state.group == group.id && state.confirmed == group.current && state.rank == static_cast<int>(rank)
             && state.choice == group.choice && state.phase != engine_phase::failed && state.phase != engine_phase::idle;
     }
 
-    /// An instance that believes in a group it is not in is released, so that nothing is answered from there.
-    void releaseStrays(const std::set<instance_id> &placed, actions &result)
+    /// Releases instances that report a group although the allotment has none for them, so that they answer no requests.
+    void releaseUnassigned(const std::set<instance_id> &placed, actions &result)
     {
         for (const auto &[id, tracked] : m_view.tracker.instances) {
-            const bool isStray = tracked.isAnswering() && !tracked.lastState->group.isEmpty() && !placed.contains(id);
-            if (isStray && tracked.lastState->confirmed < m_state.accepted.lastGeneration) {
+            const bool isUnassigned = tracked.isAnswering() && !tracked.lastState->group.isEmpty() && !placed.contains(id);
+            if (isUnassigned && tracked.lastState->confirmed < m_state.accepted.lastGeneration) {
                 engine_order order;
                 order.instance = id;
                 order.ordered = m_state.accepted.lastGeneration;
-                send(tracked.listed.address, std::move(order), result);
+                queueOrder(tracked.listed.address, std::move(order), result);
             }
         }
     }
 
-    void send(const endpoint &to, engine_order order, actions &result)
+    void queueOrder(const endpoint &to, engine_order order, actions &result)
     {
-        auto &known = m_state.orders[order.instance];
-        const bool isSame = known.ordered == order.ordered;
-        if (isSame && (known.isUnderWay || m_view.now - known.sent < m_state.settings.orderRetry)) {
+        auto &outstanding = m_state.orders[order.instance];
+        const bool isSameOrder = outstanding.ordered == order.ordered;
+        if (isSameOrder && (outstanding.isInFlight || m_view.now - outstanding.sent < m_state.settings.orderRetryDelay)) {
             return;
         }
-        known = {order.ordered, m_view.now, true};
+        outstanding = {order.ordered, m_view.now, true};
         result.push_back(send_order{to, std::move(order)});
     }
 
@@ -372,9 +373,9 @@
     return std::visit(coordinator_step(state, view), event);
 }
 
-bool mayOrder(const coordinator_state &state, instant now)
+bool maySendOrders(const coordinator_state &state, instant now)
 {
-    // An order must have left, and its answer be given up, before the lease may end.
+    // The order must be sent and its timeout over before the lease may expire.
     return state.phase == coordinator_phase::active && now + state.settings.margin + state.settings.orderTimeout < state.leaseUntil;
 }
 
--- a/Libraries/Groups/coordinator.h
+++ b/Libraries/Groups/coordinator.h
@@ -10,7 +10,7 @@
 #include <variant>
 #include <vector>
 
-/// The decisions of the coordinator of one data centre. docs/design/GROUPS.md.
+/// State machine of the coordinator of one data centre, without I/O. docs/design/GROUPS.md describes the protocol.
 namespace vetchpost {
 
 struct coordinator_settings
@@ -18,53 +18,55 @@
     daemon_id self;
     data_centre_id dataCentre;
     duration leaseTime{9000};
-    /// How long an order may be on its way as far as the sender can tell.
+    /// The longest time that an order may be in transit, as far as the sender can tell.
     duration orderTimeout{2000};
-    /// How far two clocks may drift apart over a lease, and how late a thread may wake.
+    /// Allowance for clock drift over the term of a lease and for threads that wake late.
     duration margin{1000};
-    /// How long to wait after a failed try to become coordinator, or after a failed call.
+    /// Delay before the next call after a failed call or a failed attempt to become coordinator.
     duration retryPause{1000};
-    /// An order that was not confirmed is sent again after this time.
-    duration orderRetry{3000};
+    /// Delay after which an unconfirmed order is sent again.
+    duration orderRetryDelay{3000};
     planning_policy policy;
 };
 
-// What may happen to a coordinator.
+// Events that a coordinator handles.
 
 struct coordinator_tick
 {
 };
 
-/// The answer to acquire_coordination.
+/// Result of acquire_coordination.
 struct acquisition_answer
 {
-    /// When the call was about to be made.
-    instant asked;
+    /// Time just before the call was made.
+    instant calledAt;
     bool isAcquired = false;
     lease_number lease;
 };
 
-/// The answer to renew_coordination.
+/// Result of renew_coordination.
 struct renewal_answer
 {
-    instant asked;
-    /// False where the lease has lapsed; nothing where the service did not answer.
+    /// Time just before the call was made.
+    instant calledAt;
+    /// False if the lease has expired; nothing if the service did not answer.
     std::optional<bool> isRenewed;
 };
 
-/// The answer to read_allotment.
+/// Result of read_allotment.
 struct allotment_answer
 {
     bool isRead = false;
     key_value_entry entry;
 };
 
-/// The answer to write_allotment.
+/// Result of write_allotment.
 struct write_answer
 {
     swap_result result;
 };
 
+/// Result of send_order.
 struct order_answer
 {
     instance_id instance;
@@ -74,9 +76,9 @@
 
 using coordinator_event = std::variant<coordinator_tick, acquisition_answer, renewal_answer, allotment_answer, write_answer, order_answer>;
 
-// What a coordinator wants done. Of the calls to the key-value service one is under way at a time.
+// Actions that a coordinator requests. At most one call to the key-value service is in progress at a time.
 
-/// Take a lease and create the coordinator's key under it.
+/// Acquires a lease and creates the coordinator's key under it.
 struct acquire_coordination
 {
 };
@@ -96,7 +98,7 @@
     std::string text;
 };
 
-/// Send an order, after one more look that it may still be sent.
+/// Sends an order. The caller checks maySendOrders() again right before.
 struct send_order
 {
     endpoint to;
@@ -108,9 +110,9 @@
 enum class coordinator_phase {
     follower,
     acquiring,
-    /// Holds the lease; reads the allotment.
+    /// Holds the lease and reads the allotment.
     reading,
-    /// Holds the lease; writes the raised epoch.
+    /// Holds the lease and writes the allotment with the next epoch.
     taking_over,
     active
 };
@@ -119,7 +121,7 @@
 {
     generation ordered;
     instant sent;
-    bool isUnderWay = false;
+    bool isInFlight = false;
 };
 
 struct coordinator_state
@@ -127,37 +129,41 @@
     coordinator_settings settings;
     coordinator_phase phase = coordinator_phase::follower;
     lease_number lease;
-    /// Until when the lease holds for certain: counted from before the call that took or renewed it.
+    /// When the lease may expire at the earliest: its term is counted from just before the call that acquired or renewed it.
     instant leaseUntil;
-    instant nextTry;
-    /// Tries to become coordinator that failed, one after another.
-    int failedTries = 0;
-    /// A call to the key-value service is under way.
+    /// No call to the key-value service is made before this time.
+    instant nextAttempt;
+    /// Consecutive failed attempts to become coordinator.
+    int failedAttempts = 0;
+    /// A call to the key-value service is in progress.
     bool isCalling = false;
-    /// The last allotment that is known to be the service's, with its revision.
+    /// The last allotment known to be stored in the key-value service. Its revision is acceptedRevision.
     allotment accepted;
     key_revision acceptedRevision;
-    /// What was written last, while the outcome is not known.
+    /// The allotment of the write in progress, or of one whose outcome is unknown.
     std::optional<allotment> pending;
-    /// The allotment must be read before anything else is decided: the outcome of a write is not known.
+    /// The allotment must be read before anything else is decided, since this daemon has just become coordinator or the stored allotment
+    /// is no longer known for certain.
     bool mustRead = false;
-    /// A write whose outcome is not known may still take effect: until the allotment's revision is seen to rise.
-    bool isInDoubt = false;
+    /// A write with an unknown outcome may still take effect. Cleared once the allotment's revision is seen to have increased.
+    bool isWriteUnconfirmed = false;
+    /// The last order to each instance.
     std::map<instance_id, outstanding_order> orders;
-    std::map<instance_id, instant> notBefore;
-    /// When this daemon last became active: from then on it waits for word of the members.
+    /// Instances that an old order may still reach, and when they may be reused.
+    std::map<instance_id, instant> reusableFrom;
+    /// When this daemon last became active. It waits from then on for observations of the members.
     instant activeSince;
     std::vector<planning_decision> lastDecisions;
 };
 
-/// What the coordinator sees beside its events.
+/// What the coordinator knows beside its events.
 struct coordinator_view
 {
     const instance_tracker &tracker;
-    /// Nothing while no configuration has been read.
+    /// Nothing until the configuration has been read.
     const std::optional<std::vector<deployment_want>> &wants;
     weight_store_state store;
-    /// Whether another daemon is known to coordinate; then there is no haste to try.
+    /// Another daemon is known to be coordinator, so this one does not try to acquire the lease yet.
     bool isAnotherActive = false;
     instant now;
     std::int64_t calendarNow = 0;
@@ -165,16 +171,16 @@
 
 coordinator_state makeCoordinator(const coordinator_settings &settings);
 
-/// Takes in one event and says what to do next.
+/// Handles one event and returns the actions to perform.
 std::vector<coordinator_action> step(coordinator_state &state, const coordinator_event &event, const coordinator_view &view);
 
 // Queries.
 
-/// Whether orders may be sent at this moment: asked once more right before each is sent.
-bool mayOrder(const coordinator_state &state, instant now);
-/// Whether this daemon speaks for its data centre.
+/// Whether orders may be sent now. Checked again right before each order is sent.
+bool maySendOrders(const coordinator_state &state, instant now);
+/// Whether this daemon is the coordinator of its data centre now.
 bool isActive(const coordinator_state &state, instant now);
-/// The key that names the coordinator, alive as long as its lease.
+/// Returns the key that holds the coordinator's daemon id. It expires with the coordinator's lease.
 std::string coordinatorKey(const data_centre_id &dataCentre);
 
 } // namespace vetchpost
--- a/Libraries/Groups/group_standing.cpp
+++ b/Libraries/Groups/group_state.cpp
@@ -1,18 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Libraries/Groups/group_standing.h"
+#include "Libraries/Groups/group_state.h"
 
 namespace vetchpost {
 
-std::string_view groupStandingName(group_standing standing)
+std::string_view groupStateName(group_state state)
 {
-    switch (standing) {
-    case group_standing::serving:
+    switch (state) {
+    case group_state::serving:
         return "serving";
-    case group_standing::draining:
+    case group_state::draining:
         return "draining";
-    case group_standing::forming:
+    case group_state::forming:
         return "forming";
-    case group_standing::broken:
+    case group_state::broken:
         return "broken";
     }
     return "broken";
@@ -29,19 +29,19 @@
         && state.phase == engine_phase::ready && state.choice == group.choice;
 }
 
-group_standing standingOf(const allotted_group &group, const instance_tracker &tracker)
+group_state groupStateOf(const allotted_group &group, const instance_tracker &tracker)
 {
     if (!missingRanks(group, tracker).empty()) {
-        return group_standing::broken;
+        return group_state::broken;
     }
     for (std::size_t rank = 0; rank < group.members.size(); ++rank) {
         if (!hasConfirmed(group, rank, tracker)) {
-            return group_standing::forming;
+            return group_state::forming;
         }
     }
-    // A member's own word that it leaves is enough: new work stops before the coordinator has decided anything.
+    // A member that reports that it is leaving makes the group drain at once, before the coordinator has decided anything.
     const bool isDraining = group.drainingSince != 0 || !leavingRanks(group, tracker).empty();
-    return isDraining ? group_standing::draining : group_standing::serving;
+    return isDraining ? group_state::draining : group_state::serving;
 }
 
 std::vector<std::size_t> missingRanks(const allotted_group &group, const instance_tracker &tracker)
--- a/Libraries/Groups/instance_tracker.cpp
+++ b/Libraries/Groups/instance_tracker.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-/// Whether two words of an instance differ in more than the load.
-bool differs(const engine_state &left, const engine_state &right)
+/// Whether two states of an instance differ in more than the load.
+bool differsBeyondLoad(const engine_state &left, const engine_state &right)
 {
     auto other = right;
     other.load = left.load;
     return left != other;
 }
 
-void noteLoss(tracked_instance &tracked, const tracker_limits &limits, instant now)
+void recordLoss(tracked_instance &tracked, const tracker_limits &limits, instant now)
 {
     tracked.missingSince = now;
     std::erase_if(tracked.losses, [&](instant loss) { return now - loss > limits.flapWindow; });
@@ -24,9 +24,9 @@
 
 } // namespace
 
-void takeList(instance_tracker &tracker, const std::vector<listed_instance> &list)
+void applyInstanceList(instance_tracker &tracker, const std::vector<listed_instance> &list)
 {
-    tracker.hasList = true;
+    tracker.hasInstanceList = true;
     for (auto &[id, tracked] : tracker.instances) {
         tracked.isListed = false;
     }
@@ -41,7 +41,7 @@
     });
 }
 
-bool takeObservation(instance_tracker &tracker, const instance_observation &observation, instant now)
+bool applyObservation(instance_tracker &tracker, const instance_observation &observation, instant now)
 {
     const auto found = tracker.instances.find(observation.instance);
     if (found == tracker.instances.end()) {
@@ -52,7 +52,7 @@
         if (tracked.missingSince) {
             return false;
         }
-        noteLoss(tracked, tracker.limits, now);
+        recordLoss(tracked, tracker.limits, now);
         return true;
     }
     const bool isSameRun = tracked.lastState && tracked.lastState->run == observation.state->run;
@@ -63,11 +63,11 @@
         tracked.missingSince.reset();
         tracked.returnedAt = now;
     } else if (tracked.lastState && tracked.lastState->run != observation.state->run) {
-        // It was restarted between two observations: a loss all the same.
-        noteLoss(tracked, tracker.limits, now);
+        // A restart between two observations counts as a loss too.
+        recordLoss(tracked, tracker.limits, now);
         tracked.missingSince.reset();
         tracked.returnedAt = now;
-    } else if (tracked.lastState && !differs(*tracked.lastState, *observation.state)) {
+    } else if (tracked.lastState && !differsBeyondLoad(*tracked.lastState, *observation.state)) {
         tracked.lastState->load = observation.state->load;
         return false;
     }
@@ -75,11 +75,11 @@
     return true;
 }
 
-bool isNews(const engine_state &told, const engine_state &newer)
+bool needsImmediateReport(const engine_state &reported, const engine_state &newer)
 {
     const auto isIdle = [](const engine_state &state) { return state.load.running == 0 && state.load.queued == 0; };
-    // Whether it has work at all decides when a drained group may be changed.
-    return differs(told, newer) || isIdle(told) != isIdle(newer);
+    // A draining group may be changed as soon as it is idle, so that transition is reported at once.
+    return differsBeyondLoad(reported, newer) || isIdle(reported) != isIdle(newer);
 }
 
 const tracked_instance *findInstance(const instance_tracker &tracker, const instance_id &id)
@@ -88,16 +88,16 @@
     return found == tracker.instances.end() ? nullptr : &found->second;
 }
 
-bool isHeld(const tracked_instance &tracked, const tracker_limits &limits, instant now)
+bool isHeldDown(const tracked_instance &tracked, const tracker_limits &limits, instant now)
 {
     const auto recent
         = std::count_if(tracked.losses.begin(), tracked.losses.end(), [&](instant loss) { return now - loss <= limits.flapWindow; });
-    return recent >= limits.flapsUntilHeld && tracked.returnedAt && now - *tracked.returnedAt < limits.holdTime;
+    return recent >= limits.flapThreshold && tracked.returnedAt && now - *tracked.returnedAt < limits.holdDownTime;
 }
 
 bool isPlaceable(const tracked_instance &tracked, const tracker_limits &limits, instant now)
 {
-    return tracked.isAnswering() && !tracked.isLeaving() && tracked.listed.service.empty() && !isHeld(tracked, limits, now);
+    return tracked.isAnswering() && !tracked.isLeaving() && tracked.listed.service.empty() && !isHeldDown(tracked, limits, now);
 }
 
 } // namespace vetchpost
--- a/Libraries/Groups/planning.h
+++ b/Libraries/Groups/planning.h
@@ -15,65 +15,68 @@
 
 namespace vetchpost {
 
-/// How many replicas of a deployment this data centre is to run.
+/// A deployment and the number of its replicas that this data centre should run.
 struct deployment_want
 {
     deployment wanted;
-    /// Nothing while this data centre's share cannot be told yet, which is not the same as none.
+    /// Nothing while this data centre's share is unknown, which differs from zero replicas.
     std::optional<int> replicas;
 };
 
-/// The numbers that planning weighs with. docs/design/GROUPS.md gives their sources.
+/// Parameters of planning. docs/design/GROUPS.md gives their sources.
 struct planning_policy
 {
-    /// A member that is missing for less is only waited for.
+    /// A member that has been missing for less than this is not replaced.
     duration missingGrace{3000};
-    /// So long a domain of which most is missing at once is waited for before its groups are built elsewhere.
-    duration darkDomainGrace{60000};
-    /// A domain is dark when at least this share of its instances went missing ...
-    double darkDomainShare = 0.5;
-    /// ... and at least so many.
-    int darkDomainInstances = 4;
-    /// Of the instances that go missing, the share that comes back from a restart: 91 of 105 in a day.
+    /// How long after the last loss in a domain with an outage its groups are left alone before they are rebuilt elsewhere.
+    duration domainOutageGrace{60000};
+    /// Share of a domain's listed instances that must be missing for the domain to have an outage.
+    double domainOutageShare = 0.5;
+    /// Number of a domain's instances that must be missing for the domain to have an outage.
+    int domainOutageMinInstances = 4;
+    /// Share of missing instances that return after a restart: 91 of 105 a day. The others have failed.
     double restartShare = 0.867;
-    /// How long a failed instance is away.
+    /// How long a failed instance is missing until it has been repaired.
     duration repairTime{14400000};
-    /// How long members take to find each other when no weights are loaded.
+    /// How long the members of a group take to connect to each other, without loading weights.
     duration reformTime{3000};
-    /// How much worse a replica is that spans domains, as a share of its downtime cost over the time until repair.
+    /// Cost of a replica that spans domains, as a share of the cost of its downtime until the missing members return.
     double spanPenalty = 0.5;
-    /// Loads ordered at once, as a multiple of those that the store feeds at full rate.
+    /// Maximum number of concurrent weight loads, as a multiple of those that the weight store serves at full rate.
     double loadsPerStoreSlot = 1.5;
-    /// The store's concurrency while it is not known.
-    int assumedStoreSlots = 16;
-    /// A drained group must have been draining for so long, so that every gateway has heard of it.
-    duration drainSettle{3000};
+    /// Loads that the weight store is assumed to serve at full rate while its concurrency is unknown.
+    int defaultStoreSlots = 16;
+    /// A serving group drains for at least this time, so that every gateway has learned that it does.
+    duration minDrainTime{3000};
+    /// A group that still has work after this time counts as drained.
     duration drainTimeout{600000};
-    /// A coordinator that has just taken over waits so long for word of members that it has not heard of. An instance whose observer was
-    /// replaced counts as missing after the same time (cluster_state's wordGrace).
+    /// How long a new coordinator waits for observations of all members before it plans. An instance whose observer was replaced counts
+    /// as missing after the same time (cluster_state's wordGrace).
     duration viewGrace{5000};
-    /// Of a deployment's groups at most this share (at least one group) is out of service at a time because there are more than wanted, so
-    /// that a wrong count is noticed before everything is down.
+    /// At most this share of a deployment's groups, but at least one group, drains at a time because there are more than wanted, so that a
+    /// wrong count is noticed before all groups are down.
     double surplusShare = 0.25;
 };
 
+/// Everything that one planning round depends on.
 struct planning_input
 {
     const allotment &current;
     const instance_tracker &tracker;
-    /// Nothing while no configuration has been read.
+    /// Nothing until the configuration has been read.
     const std::optional<std::vector<deployment_want>> &wants;
     weight_store_state store;
-    /// Instances that an old order may still reach, with the time from which they may be used again.
-    const std::map<instance_id, instant> &notBefore;
+    /// Instances that an old order may still reach, and when they may be reused.
+    const std::map<instance_id, instant> &reusableFrom;
     instant now;
     std::int64_t calendarNow = 0;
-    /// Part of the names of new groups: they are unique over all data centres.
+    /// Part of the ids of new groups, which are unique across all data centres.
     data_centre_id dataCentre;
-    /// Since when the planning daemon has been collecting what it knows of the members.
-    instant viewSince;
+    /// When the planning daemon began to collect observations of the members.
+    instant collectingSince;
 };
 
+/// What is done with a group.
 enum class plan_action {
     wait,
     use_standby,
@@ -88,21 +91,25 @@
     resume
 };
 
+/// Returns the name used in the log and the operators' interface.
 std::string_view planActionName(plan_action action);
 
-/// One way to make a broken group whole.
+/// One way to repair a broken group.
 struct repair_option
 {
     plan_action action = plan_action::wait;
+    /// Expected time until the group serves again.
     duration expectedTime{};
+    /// Cost in weighted seconds: downtime and idle members of this group, plus the losses of removed groups or the slowness while spanning
+    /// domains.
     double cost = 0;
-    /// The groups that are taken apart for it.
-    std::vector<group_id> sources;
-    /// The new members: for a repair in place one for each missing rank, for a rebuild all of them.
+    /// The groups that are removed to free their members.
+    std::vector<group_id> dissolvedGroups;
+    /// The new members: one for each lost rank for a repair in place, all of them for a rebuild.
     std::vector<instance_id> instances;
 };
 
-/// What was decided of one group, and why.
+/// A decision about one group with its reason and the options considered.
 struct planning_decision
 {
     group_id group;
@@ -111,6 +118,7 @@
     std::vector<repair_option> alternatives;
 };
 
+/// Result of one planning round.
 struct planning_result
 {
     allotment next;
@@ -118,10 +126,10 @@
     std::vector<planning_decision> decisions;
 };
 
-/// What the view lacks before anything may be planned on it; nothing where it is whole.
-std::optional<std::string> viewGap(const planning_input &input, const planning_policy &policy);
-/// Plans one round: what the allotment should become. Pure; docs/design/GROUPS.md numbers its steps.
-/// Plans nothing while the view is not whole.
+/// Describes what is missing from the input for planning, or returns nothing if it is complete.
+std::optional<std::string> incompleteViewReason(const planning_input &input, const planning_policy &policy);
+/// Plans one round and returns the next allotment. Has no side effects. Changes nothing while the input is incomplete.
+/// docs/design/GROUPS.md numbers the steps.
 planning_result planGroups(const planning_input &input, const planning_policy &policy);
 
 } // namespace vetchpost
--- a/Libraries/Groups/repair_choice.h
+++ b/Libraries/Groups/repair_choice.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #pragma once
 
-#include "Libraries/Groups/planning_table.h"
+#include "Libraries/Groups/planning_round.h"
 
 #include <vector>
 
@@ -12,19 +12,19 @@
 {
     group_id id;
     std::vector<std::size_t> lostRanks;
-    /// How long the longest missing member has been away.
-    duration age{};
-    /// All lost members are leaving, not missing: waiting for them makes no sense.
+    /// Time since the first of the missing members went missing.
+    duration absence{};
+    /// All lost members are about to leave and none is missing, so waiting for them is pointless.
     bool isLeaving = false;
 };
 
-/// How long it takes on average until a missing instance is back with its weights, given how long it has been away.
-duration expectedReturn(const planning_policy &policy, const deployment &wanted, duration age);
+/// Returns the expected time until a missing instance has returned and loaded its weights, given how long it has been missing.
+duration expectedReturn(const planning_policy &policy, const deployment &wanted, duration absence);
 
-/// Every way to make the group whole, cheapest first. \a broken are the other groups that may be taken apart for it.
-std::vector<repair_option> repairOptions(planning_table &table, const broken_group &group, const std::vector<broken_group> &broken);
+/// Returns all ways to repair the group, cheapest first. \a others are the other broken groups, which may be removed for their members.
+std::vector<repair_option> repairOptions(planning_round &round, const broken_group &group, const std::vector<broken_group> &others);
 
-/// Changes the table by one option.
-void applyRepair(planning_table &table, const broken_group &group, const repair_option &option);
+/// Applies an option to the planned allotment.
+void applyRepair(planning_round &round, const broken_group &group, const repair_option &option);
 
 } // namespace vetchpost
--- a/Libraries/Groups/replica_shares.h
+++ b/Libraries/Groups/replica_shares.h
@@ -7,25 +7,26 @@
 
 namespace vetchpost {
 
-/// What one data centre offers to one deployment.
-struct data_centre_offer
+/// How many replicas of one deployment fit into one data centre.
+struct data_centre_capacity
 {
     data_centre_id dataCentre;
-    /// How many whole replicas its listed instances have room for.
-    int room = 0;
+    /// Number of whole replicas that fit into the domains of its listed instances.
+    int capacity = 0;
 };
 
+/// How many replicas of one deployment one data centre should run.
 struct data_centre_share
 {
     data_centre_id dataCentre;
     int replicas = 0;
 };
 
-/// How many whole groups of \a size instances fit into domains of these sizes.
-int wholeGroupRoom(const std::vector<int> &domainSizes, int size);
+/// Returns how many whole groups of \a size instances fit into domains of these sizes.
+int wholeGroupCapacity(const std::vector<int> &domainSizes, int size);
 
-/// Splits the replicas of a deployment between data centres in proportion to their room, never above it. The same on every
-/// daemon that knows the same offers. The sum is below \a replicas where the room is.
-std::vector<data_centre_share> shareReplicas(int replicas, std::vector<data_centre_offer> offers);
+/// Splits the replicas of a deployment between data centres in proportion to their capacity and never above it. Every daemon that knows
+/// the same capacities gets the same result. The sum is below \a replicas if the total capacity is.
+std::vector<data_centre_share> shareReplicas(int replicas, std::vector<data_centre_capacity> capacities);
 
 } // namespace vetchpost
--- a/Tests/Groups/groupWorld.cpp
+++ b/Tests/Groups/groupSimulation.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Tests/Groups/groupWorld.h"
+#include "Tests/Groups/groupSimulation.h"
 
 #include <fmt/format.h>
 
@@ -15,8 +15,8 @@
 constexpr int coordinators = 3;
 constexpr duration tick(200);
 constexpr duration loadTime(1500);
-/// A plan made before a change may be written so much later: a lost reply, a late write, a long pause of the fuzzer's steps.
-constexpr duration quietTime(8000);
+/// A plan may be written this long after the last change, because of a lost reply, a late write or a paused coordinator.
+constexpr duration settleTime(8000);
 const data_centre_id dataCentre("ikeja");
 
 deployment makeDeployment(const std::string &name, int priority, bool checksFencing)
@@ -34,15 +34,15 @@
     return wanted;
 }
 
-/// What an order's acceptance rests on: this placement was written before.
-std::string placementName(const group_id &group, generation ordered, int rank, const instance_id &instance)
+/// Identifies one member's placement in a group of one generation. An order is legitimate only if its placement was written before.
+std::string placementKey(const group_id &group, generation ordered, int rank, const instance_id &instance)
 {
     return fmt::format("{} {} {} {}", group.value(), ordered.value(), rank, instance.value());
 }
 
 } // namespace
 
-group_world::group_world(bool checksFencing, std::uint64_t seed)
+group_simulation::group_simulation(bool checksFencing, std::uint64_t seed)
     : m_randomState(seed)
 {
     for (int i = 0; i < domains * enginesPerDomain; ++i) {
@@ -62,7 +62,7 @@
         coordinator_settings settings;
         settings.self = daemon_id(fmt::format("d{}", i));
         settings.dataCentre = dataCentre;
-        settings.policy.drainSettle = duration(400);
+        settings.policy.minDrainTime = duration(400);
         settings.policy.drainTimeout = duration(5000);
         fake_coordinator coordinator;
         coordinator.state = makeCoordinator(settings);
@@ -70,35 +70,35 @@
     }
 }
 
-std::uint64_t group_world::random()
+std::uint64_t group_simulation::random()
 {
     return m_randomState = hashOf(fmt::format("{}", m_randomState));
 }
 
-duration group_world::randomDelay(duration most)
+duration group_simulation::randomDelay(duration most)
 {
     return duration(static_cast<std::int64_t>(random() % static_cast<std::uint64_t>(most.count() + 1)));
 }
 
-void group_world::breakRule(const std::string &what)
+void group_simulation::reportViolation(const std::string &what)
 {
     if (m_violation.empty()) {
         m_violation = what;
     }
 }
 
-bool group_world::isServiceReachable(const fake_coordinator &coordinator) const
+bool group_simulation::isServiceReachable(const fake_coordinator &coordinator) const
 {
     return m_now >= m_serviceDownUntil && !coordinator.isCutFromService;
 }
 
-void group_world::apply(const world_step &step)
+void group_simulation::apply(const simulation_step &step)
 {
     auto &engine = m_engines[static_cast<std::size_t>(step.subject) % m_engines.size()];
     auto &coordinator = m_coordinators[static_cast<std::size_t>(step.subject) % m_coordinators.size()];
     constexpr int firstRestart = 14;
     if (step.kind < firstRestart) {
-        m_quietSince = m_now;
+        m_undisturbedSince = m_now;
     }
     switch (step.kind) {
     case 0:
@@ -114,7 +114,7 @@
         }
         break;
     case 2:
-        // It was only cut off: it comes back as it was.
+        // It was only unreachable: it returns with its state unchanged.
         engine.isAlive = true;
         break;
     case 3:
@@ -142,7 +142,7 @@
         engine.listed.isLeaving = !engine.listed.isLeaving;
         break;
     case 11: {
-        // A whole fabric domain goes dark, or comes back.
+        // A whole fabric domain fails or returns.
         const auto &domain = engine.listed.fabricDomain;
         const bool isAlive = !engine.isAlive;
         for (auto &other : m_engines) {
@@ -157,12 +157,12 @@
         break;
     case 12:
     case 13:
-        // Two operators race: replicas come and go faster than orders travel.
+        // Two operators race: the number of replicas changes faster than orders arrive.
         for (const auto replicas : {5, 2, 5, 1, 4}) {
             m_wants[0].replicas = replicas;
             advance(duration(200 + step.amount % 1000));
         }
-        m_quietSince = m_now;
+        m_undisturbedSince = m_now;
         break;
     default:
         break;
@@ -170,7 +170,7 @@
     advance(duration(step.amount % 4000));
 }
 
-void group_world::heal(duration time)
+void group_simulation::heal(duration time)
 {
     m_serviceDownUntil = m_now;
     m_repliesToLose = 0;
@@ -189,7 +189,7 @@
     }
 }
 
-void group_world::advance(duration time)
+void group_simulation::advance(duration time)
 {
     const auto end = m_now + time;
     while (m_now < end && m_violation.empty()) {
@@ -197,34 +197,34 @@
         m_store.expire(m_now);
         applyLateWrites();
         deliverOrders();
-        tickAll();
+        tickCoordinators();
         check();
     }
 }
 
-/// The daemon stops, ends its own lease, and is started anew: it knows nothing, and its view comes piece by piece.
-void group_world::restart(fake_coordinator &coordinator, duration longestDelay)
+/// Restarts the daemon of a coordinator. It revokes its lease and starts with an empty view, whose parts become available one by one.
+void group_simulation::restart(fake_coordinator &coordinator, duration longestDelay)
 {
     m_store.leases.erase(coordinator.state.lease);
     m_store.expire(m_now);
     coordinator.state = makeCoordinator(coordinator.state.settings);
     coordinator.tracker = {};
     coordinator.answers.clear();
-    coordinator.held.clear();
+    coordinator.delayedOrders.clear();
     coordinator.isPaused = false;
     coordinator.configurationKnownFrom = m_now + randomDelay(longestDelay);
     coordinator.listKnownFrom = m_now + randomDelay(longestDelay);
     coordinator.membersKnownFrom = coordinator.listKnownFrom + randomDelay(duration(4000));
 }
 
-void group_world::tickAll()
+void group_simulation::tickCoordinators()
 {
     for (auto &coordinator : m_coordinators) {
         if (coordinator.isPaused) {
             continue;
         }
-        for (const auto &action : std::exchange(coordinator.held, {})) {
-            sendNow(coordinator, action);
+        for (const auto &action : std::exchange(coordinator.delayedOrders, {})) {
+            sendOrderNow(coordinator, action);
         }
         observe(coordinator);
         while (!coordinator.answers.empty() && coordinator.answers.front().first <= m_now) {
@@ -236,7 +236,7 @@
     }
 }
 
-void group_world::observe(fake_coordinator &coordinator)
+void group_simulation::observe(fake_coordinator &coordinator)
 {
     std::vector<listed_instance> list;
     for (auto &engine : m_engines) {
@@ -247,22 +247,22 @@
         list.push_back(engine.listed);
     }
     if (m_now >= coordinator.listKnownFrom) {
-        takeList(coordinator.tracker, list);
+        applyInstanceList(coordinator.tracker, list);
     }
     if (m_now < coordinator.membersKnownFrom) {
         return;
     }
     for (const auto &engine : m_engines) {
-        const bool isHeard = engine.isAlive && !coordinator.isCutFromEngines;
-        takeObservation(coordinator.tracker, {engine.listed.id, isHeard ? std::optional(engine.state) : std::nullopt}, m_now);
+        const bool isObserved = engine.isAlive && !coordinator.isCutFromEngines;
+        applyObservation(coordinator.tracker, {engine.listed.id, isObserved ? std::optional(engine.state) : std::nullopt}, m_now);
     }
 }
 
-void group_world::run(fake_coordinator &coordinator, const coordinator_event &event)
+void group_simulation::run(fake_coordinator &coordinator, const coordinator_event &event)
 {
     auto wants = m_now >= coordinator.configurationKnownFrom ? std::optional(m_wants) : std::nullopt;
     if (wants && m_now < coordinator.listKnownFrom) {
-        // A share is reckoned from the own instances: without their list it is not known.
+        // The share is computed from the data centre's own instances, so it is unknown without their list.
         for (auto &want : *wants) {
             want.replicas.reset();
         }
@@ -273,12 +273,12 @@
     }
 }
 
-void group_world::perform(fake_coordinator &coordinator, const coordinator_action &action)
+void group_simulation::perform(fake_coordinator &coordinator, const coordinator_action &action)
 {
-    // A call may be answered late, so that its answer finds another world.
-    const auto answerAt = m_now + (random() % 3 == 0 ? randomDelay(duration(3000)) : randomDelay(duration(100)));
+    // An answer may arrive late, when the state has changed since the call.
+    const auto answerArrival = m_now + (random() % 3 == 0 ? randomDelay(duration(3000)) : randomDelay(duration(100)));
     const bool isReachable = isServiceReachable(coordinator);
-    const auto answer = [&](const coordinator_event &event) { coordinator.answers.emplace_back(answerAt, event); };
+    const auto answer = [&](const coordinator_event &event) { coordinator.answers.emplace_back(answerArrival, event); };
     if (std::holds_alternative<acquire_coordination>(action)) {
         acquisition_answer result{m_now, false, {}};
         if (isReachable) {
@@ -301,28 +301,28 @@
             answer(write_answer{{swap_outcome::unknown, {}}});
         } else {
             answer(write_answer{m_store.swap(allotmentKey(dataCentre), write->expected, write->text)});
-            checkStored();
+            checkStoredAllotment();
         }
     } else if (const auto *order = std::get_if<send_order>(&action)) {
-        // One order in eight waits on its thread, which may be paused before it sends.
+        // One order in eight is delayed, so that the coordinator may be paused before it is sent.
         if (random() % 8 == 0) {
-            coordinator.held.push_back(*order);
+            coordinator.delayedOrders.push_back(*order);
         } else {
-            sendNow(coordinator, *order);
+            sendOrderNow(coordinator, *order);
         }
     }
 }
 
-void group_world::sendNow(fake_coordinator &coordinator, const send_order &action)
+void group_simulation::sendOrderNow(fake_coordinator &coordinator, const send_order &action)
 {
-    if (!mayOrder(coordinator.state, m_now)) {
+    if (!maySendOrders(coordinator.state, m_now)) {
         coordinator.answers.emplace_back(m_now, order_answer{action.order.instance, action.order.ordered, order_outcome::not_sent});
         return;
     }
     const auto &order = action.order;
     const bool isRelease = order.group.isEmpty();
-    if (!isRelease && !m_written.contains(placementName(order.group, order.ordered, order.rank, order.instance))) {
-        breakRule("an order went out before its placement was written: " + order.instance.value());
+    if (!isRelease && !m_writtenPlacements.contains(placementKey(order.group, order.ordered, order.rank, order.instance))) {
+        reportViolation("an order went out before its placement was written: " + order.instance.value());
     }
     const auto travel = randomDelay(coordinator.state.settings.orderTimeout);
     if (!coordinator.isCutFromEngines) {
@@ -331,30 +331,30 @@
     coordinator.answers.emplace_back(m_now + travel, order_answer{order.instance, order.ordered, order_outcome::accepted});
 }
 
-void group_world::deliverOrders()
+void group_simulation::deliverOrders()
 {
     auto due = std::exchange(m_orders, {});
-    for (const auto &travelling : due) {
-        if (travelling.arrives > m_now) {
-            m_orders.push_back(travelling);
+    for (const auto &pendingOrder : due) {
+        if (pendingOrder.arrives > m_now) {
+            m_orders.push_back(pendingOrder);
             continue;
         }
         for (auto &engine : m_engines) {
-            if (engine.listed.id == travelling.order.instance && engine.isAlive) {
-                obey(engine, travelling.order);
+            if (engine.listed.id == pendingOrder.order.instance && engine.isAlive) {
+                obey(engine, pendingOrder.order);
             }
         }
     }
 }
 
-void group_world::obey(fake_engine &engine, const engine_order &order)
+void group_simulation::obey(fake_engine &engine, const engine_order &order)
 {
     if (order.ordered < engine.state.confirmed) {
         if (engine.checksFencing) {
             return;
         }
         if (order.group != engine.state.group && !engine.state.group.isEmpty() && !order.group.isEmpty()) {
-            ++m_obeyedStale;
+            ++m_staleOrdersObeyed;
         }
     }
     const bool hasWeights
@@ -369,7 +369,7 @@
     }
 }
 
-void group_world::applyLateWrites()
+void group_simulation::applyLateWrites()
 {
     auto late = std::exchange(m_lateWrites, {});
     for (const auto &write : late) {
@@ -377,34 +377,34 @@
             m_lateWrites.push_back(write);
         } else {
             m_store.swap(allotmentKey(dataCentre), write.expected, write.value);
-            checkStored();
+            checkStoredAllotment();
         }
     }
 }
 
-void group_world::checkStored()
+void group_simulation::checkStoredAllotment()
 {
     const auto stored = allotmentFrom(m_store.get(allotmentKey(dataCentre)).value);
     if (!stored) {
-        breakRule("the stored allotment cannot be read");
+        reportViolation("the stored allotment cannot be read");
         return;
     }
     if (const auto problem = allotmentProblem(*stored)) {
-        breakRule(*problem);
+        reportViolation(*problem);
     }
     if (stored->current < m_lastStored.current || stored->lastGeneration < m_lastStored.lastGeneration) {
-        breakRule("the epoch or the last generation fell");
+        reportViolation("the epoch or the last generation fell");
     }
-    checkNothingHealthyRemoved(*stored);
+    checkNoHealthyGroupRemoved(*stored);
     m_lastStored = *stored;
     for (const auto &group : stored->groups) {
         for (std::size_t rank = 0; rank < group.members.size(); ++rank) {
-            m_written.insert(placementName(group.id, group.current, static_cast<int>(rank), group.members[rank].instance));
+            m_writtenPlacements.insert(placementKey(group.id, group.current, static_cast<int>(rank), group.members[rank].instance));
         }
     }
 }
 
-std::set<group_id> group_world::healthyGroups() const
+std::set<group_id> group_simulation::healthyGroups() const
 {
     std::set<group_id> healthy;
     for (const auto &group : m_lastStored.groups) {
@@ -421,54 +421,55 @@
     return healthy;
 }
 
-/// While nothing but coordinators changes, no healthy group that is wanted may be taken down. The deployment of the highest priority is
-/// looked at: groups of the others may have to give way to it.
-void group_world::checkNothingHealthyRemoved(const allotment &stored)
+/// Checks that no healthy group that is wanted is removed while only coordinators change. Only the deployment with the highest priority
+/// is checked, since groups of others may be preempted for it.
+void group_simulation::checkNoHealthyGroupRemoved(const allotment &stored)
 {
     const auto &first = m_wants.front();
-    const auto isOfFirst = [&](const allotted_group &group) { return group.deployment == first.wanted.id; };
-    const auto present = std::count_if(m_lastStored.groups.begin(), m_lastStored.groups.end(), isOfFirst);
-    if (m_now - m_quietSince < quietTime || present > *first.replicas) {
+    const auto isOfFirstDeployment = [&](const allotted_group &group) { return group.deployment == first.wanted.id; };
+    const auto present = std::count_if(m_lastStored.groups.begin(), m_lastStored.groups.end(), isOfFirstDeployment);
+    if (m_now - m_undisturbedSince < settleTime || present > *first.replicas) {
         return;
     }
     const auto healthy = healthyGroups();
     for (const auto &group : m_lastStored.groups) {
-        const bool isLeft
+        const bool isStillStored
             = std::any_of(stored.groups.begin(), stored.groups.end(), [&](const allotted_group &other) { return other.id == group.id; });
-        if (isOfFirst(group) && healthy.contains(group.id) && !isLeft) {
-            breakRule("a healthy group that is wanted was removed: " + group.id.value());
+        if (isOfFirstDeployment(group) && healthy.contains(group.id) && !isStillStored) {
+            reportViolation("a healthy group that is wanted was removed: " + group.id.value());
         }
     }
 }
 
-void group_world::check()
+void group_simulation::check()
 {
     int ordering = 0;
     for (const auto &coordinator : m_coordinators) {
-        ordering += mayOrder(coordinator.state, m_now) ? 1 : 0;
+        ordering += maySendOrders(coordinator.state, m_now) ? 1 : 0;
         if (!coordinator.isPaused && !coordinator.isCutFromEngines) {
             checkServing(coordinator);
         }
     }
     if (ordering > 1) {
-        breakRule("two coordinators may order at the same time");
+        reportViolation("two coordinators may order at the same time");
     }
-    if (m_obeyedStale > 0) {
-        breakRule("an engine that ignores fencing numbers obeyed an order of the past");
+    if (m_staleOrdersObeyed > 0) {
+        reportViolation("an engine that ignores fencing numbers obeyed an order of the past");
     }
 }
 
-/// A group that is sent work must be whole, by the word of the engines themselves and not only by what was observed.
-void group_world::checkServing(const fake_coordinator &coordinator)
+/// Checks that every member of a group that gets work has confirmed it, according to the engines themselves and not only to what was
+/// observed.
+void group_simulation::checkServing(const fake_coordinator &coordinator)
 {
     std::set<instance_id> inUse;
     for (const auto &group : coordinator.state.accepted.groups) {
-        if (standingOf(group, coordinator.tracker) != group_standing::serving) {
+        if (groupStateOf(group, coordinator.tracker) != group_state::serving) {
             continue;
         }
         for (const auto &member : group.members) {
             if (!inUse.insert(member.instance).second) {
-                breakRule("an instance serves in two groups: " + member.instance.value());
+                reportViolation("an instance serves in two groups: " + member.instance.value());
             }
             for (const auto &engine : m_engines) {
                 const auto &state = engine.state;
@@ -476,19 +477,19 @@
                 if (isMember
                     && (!engine.isAlive || state.group != group.id || state.confirmed != group.current
                         || state.phase != engine_phase::ready)) {
-                    breakRule("a group serves although a member has not confirmed: " + group.id.value());
+                    reportViolation("a group serves although a member has not confirmed: " + group.id.value());
                 }
             }
         }
     }
 }
 
-const std::string &group_world::violation() const
+const std::string &group_simulation::violation() const
 {
     return m_violation;
 }
 
-int group_world::servingGroups() const
+int group_simulation::servingGroups() const
 {
     std::map<std::pair<group_id, generation>, int> ready;
     for (const auto &engine : m_engines) {
@@ -504,7 +505,7 @@
     return serving;
 }
 
-int group_world::wantedGroups() const
+int group_simulation::wantedGroups() const
 {
     int wanted = 0;
     for (const auto &want : m_wants) {
@@ -513,7 +514,7 @@
     return wanted;
 }
 
-std::string group_world::describe() const
+std::string group_simulation::describe() const
 {
     std::string text = fmt::format("serving {} of {}\n", servingGroups(), wantedGroups());
     for (const auto &coordinator : m_coordinators) {
--- a/Tests/Groups/testPlanning.cpp
+++ b/Tests/Groups/testPlanning.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "Benchmarks/naivePlanner.h"
 #include "Libraries/Groups/coordinator.h"
-#include "Libraries/Groups/group_standing.h"
+#include "Libraries/Groups/group_state.h"
 #include "Libraries/Groups/planning.h"
 #include "Libraries/Groups/replica_shares.h"
 #include "Tests/Fakes/fuzz.h"
@@ -17,7 +17,7 @@
 
 using planner = std::function<planning_result(const planning_input &)>;
 
-/// A fleet whose engines obey and load at once, planned round by round.
+/// Simulates instances whose engines obey orders at once, planned round by round.
 class planned_fleet
 {
 public:
@@ -36,7 +36,7 @@
                 m_states.emplace(listed.id, state);
             }
         }
-        takeList(m_tracker, list);
+        applyInstanceList(m_tracker, list);
         observeAll();
         add("model", 5, size, replicas);
     }
@@ -56,13 +56,13 @@
         wants.push_back({wanted, replicas});
     }
 
-    void lose(const instance_id &instance)
+    void fail(const instance_id &instance)
     {
         m_states.erase(instance);
-        takeObservation(m_tracker, {instance, std::nullopt}, now);
+        applyObservation(m_tracker, {instance, std::nullopt}, now);
     }
 
-    void giveBack(const instance_id &instance)
+    void restore(const instance_id &instance)
     {
         engine_state state;
         state.instance = instance;
@@ -71,7 +71,7 @@
         observeAll();
     }
 
-    void leave(const instance_id &instance)
+    void announceLeaving(const instance_id &instance)
     {
         m_states.at(instance).isLeaving = true;
         observeAll();
@@ -83,11 +83,11 @@
         observeAll();
     }
 
-    /// One round; the decisions that it took.
+    /// Plans one round, carries it out and returns its decisions. Without \a doesLoad members that change remain in the loading phase.
     std::vector<planning_decision> round(const planner &plan, bool doesLoad = true)
     {
         const std::optional known(wants);
-        const planning_input input{allotted, m_tracker, known, {1000, 0}, notBefore, now, now.time_since_epoch().count(), dataCentre};
+        const planning_input input{allotted, m_tracker, known, {1000, 0}, reusableFrom, now, now.time_since_epoch().count(), dataCentre};
         auto result = plan(input);
         REQUIRE_FALSE(allotmentProblem(result.next));
         allotted = result.next;
@@ -120,7 +120,7 @@
     {
         int count = 0;
         for (const auto &group : allotted.groups) {
-            count += standingOf(group, m_tracker) == group_standing::serving ? 1 : 0;
+            count += groupStateOf(group, m_tracker) == group_state::serving ? 1 : 0;
         }
         return count;
     }
@@ -134,13 +134,13 @@
     allotment allotted;
     data_centre_id dataCentre{"ikeja"};
     instant now{duration(1000000)};
-    std::map<instance_id, instant> notBefore;
+    std::map<instance_id, instant> reusableFrom;
 
 private:
     void observeAll()
     {
         for (const auto &[id, state] : m_states) {
-            takeObservation(m_tracker, {id, state}, now);
+            applyObservation(m_tracker, {id, state}, now);
         }
     }
 
@@ -149,12 +149,12 @@
     std::uint64_t m_runs = 1;
 };
 
-planner ours()
+planner optimisingPlanner()
 {
     return [](const planning_input &input) { return planGroups(input, planning_policy()); };
 }
 
-planner naive()
+planner naivePlanner()
 {
     return [](const planning_input &input) { return bench::planNaively(input, 1); };
 }
@@ -166,7 +166,7 @@
 
 } // namespace
 
-TEST_CASE("The planner makes as many groups whole as fit, and never fewer than the naive one", "[fuzz]")
+TEST_CASE("The planner keeps as many groups serving as fit, and never fewer than the naive planner", "[fuzz]")
 {
     const auto property = [] {
         const auto domains = *rc::gen::inRange(1, 4);
@@ -174,23 +174,23 @@
         const auto size = *rc::gen::inRange(2, 5);
         const auto replicas = *rc::gen::inRange(1, 8);
         const auto lost = *rc::gen::container<std::set<int>>(rc::gen::inRange(0, domains * perDomain));
-        int served[2] = {0, 0};
-        for (const int which : {0, 1}) {
+        int servingByPlanner[2] = {0, 0};
+        for (const int plannerIndex : {0, 1}) {
             planned_fleet fleet(domains, perDomain, size, replicas);
-            const auto plan = which == 0 ? ours() : naive();
+            const auto plan = plannerIndex == 0 ? optimisingPlanner() : naivePlanner();
             fleet.settle(plan, 6);
-            for (const auto place : lost) {
-                fleet.lose(instance_id(fmt::format("i{}-{:02}", place / perDomain, place % perDomain)));
+            for (const auto number : lost) {
+                fleet.fail(instance_id(fmt::format("i{}-{:02}", number / perDomain, number % perDomain)));
             }
             fleet.settle(plan);
-            served[which] = fleet.serving();
+            servingByPlanner[plannerIndex] = fleet.serving();
         }
         std::vector<int> healthy(static_cast<std::size_t>(domains), perDomain);
-        for (const auto place : lost) {
-            --healthy[static_cast<std::size_t>(place / perDomain)];
+        for (const auto number : lost) {
+            --healthy[static_cast<std::size_t>(number / perDomain)];
         }
-        RC_ASSERT(served[0] >= served[1]);
-        RC_ASSERT(served[0] == std::min(replicas, wholeGroupRoom(healthy, size)));
+        RC_ASSERT(servingByPlanner[0] >= servingByPlanner[1]);
+        RC_ASSERT(servingByPlanner[0] == std::min(replicas, wholeGroupCapacity(healthy, size)));
     };
     checkProperty("planner", fuzzSteps(10000) / 50, property);
 }
@@ -198,126 +198,126 @@
 TEST_CASE("A lost member is replaced by a standby of its own fabric domain")
 {
     planned_fleet fleet(2, 5, 4, 2);
-    fleet.settle(ours(), 3);
+    fleet.settle(optimisingPlanner(), 3);
     const auto lost = fleet.allotted.groups.front().members[2];
-    fleet.lose(lost.instance);
-    // A moment is waited for first.
+    fleet.fail(lost.instance);
+    // A member that has been missing for a second is not replaced yet.
     fleet.now += duration(1000);
-    CHECK(fleet.round(ours()).empty());
+    CHECK(fleet.round(optimisingPlanner()).empty());
     fleet.now += duration(3000);
-    CHECK(hasAction(fleet.round(ours()), plan_action::use_standby));
+    CHECK(hasAction(fleet.round(optimisingPlanner()), plan_action::use_standby));
     CHECK(fleet.serving() == 2);
     for (const auto &member : fleet.allotted.groups.front().members) {
         CHECK(member.domain == lost.domain);
     }
-    // Its return changes nothing.
-    fleet.giveBack(lost.instance);
+    // The return of the lost member changes nothing.
+    fleet.restore(lost.instance);
     fleet.now += duration(5000);
-    CHECK(fleet.round(ours()).empty());
+    CHECK(fleet.round(optimisingPlanner()).empty());
 }
 
-TEST_CASE("Groups of two data centres never have the same name")
+TEST_CASE("Groups of two data centres never have the same id")
 {
     planned_fleet first(1, 4, 4, 1);
     planned_fleet second(1, 4, 4, 1);
     second.dataCentre = data_centre_id("lekki");
-    first.round(ours());
-    second.round(ours());
+    first.round(optimisingPlanner());
+    second.round(optimisingPlanner());
     REQUIRE(first.allotted.groups.size() == 1);
     REQUIRE(second.allotted.groups.size() == 1);
     CHECK(first.allotted.groups.front().id != second.allotted.groups.front().id);
 }
 
-TEST_CASE("Two broken groups of one domain make one whole")
+TEST_CASE("Two broken groups of one domain are combined into a serving one")
 {
     planned_fleet fleet(1, 8, 4, 2);
-    fleet.settle(ours(), 3);
-    fleet.lose(fleet.allotted.groups[0].members[1].instance);
-    fleet.lose(fleet.allotted.groups[1].members[3].instance);
+    fleet.settle(optimisingPlanner(), 3);
+    fleet.fail(fleet.allotted.groups[0].members[1].instance);
+    fleet.fail(fleet.allotted.groups[1].members[3].instance);
     fleet.now += duration(4000);
-    CHECK(hasAction(fleet.round(ours()), plan_action::use_donor));
+    CHECK(hasAction(fleet.round(optimisingPlanner()), plan_action::use_donor));
     CHECK(fleet.serving() == 1);
 }
 
-TEST_CASE("Three groups with one member left each make one whole")
+TEST_CASE("Three groups with one member left each are combined into a serving one")
 {
     planned_fleet fleet(1, 9, 3, 3);
-    fleet.settle(ours(), 3);
+    fleet.settle(optimisingPlanner(), 3);
     for (const auto &group : fleet.allotted.groups) {
-        fleet.lose(group.members[0].instance);
-        fleet.lose(group.members[1].instance);
+        fleet.fail(group.members[0].instance);
+        fleet.fail(group.members[1].instance);
     }
     fleet.now += std::chrono::minutes(2);
-    fleet.settle(ours(), 2);
+    fleet.settle(optimisingPlanner(), 2);
     CHECK(fleet.serving() == 1);
 }
 
-TEST_CASE("A domain that goes dark makes no stampede, and its return undoes nothing")
+TEST_CASE("An outage of a domain causes no mass rebuild, and its return reverts nothing")
 {
     planned_fleet fleet(3, 8, 4, 4);
-    fleet.settle(ours(), 4);
+    fleet.settle(optimisingPlanner(), 4);
     const auto before = fleet.allotted;
-    std::vector<instance_id> dark;
+    std::vector<instance_id> lostInstances;
     for (const auto &[id, tracked] : fleet.tracker().instances) {
         if (tracked.listed.fabricDomain == before.groups.front().members.front().domain) {
-            dark.push_back(id);
+            lostInstances.push_back(id);
         }
     }
-    for (const auto &id : dark) {
-        fleet.lose(id);
+    for (const auto &id : lostInstances) {
+        fleet.fail(id);
     }
     for (int second = 0; second < 50; ++second) {
         fleet.now += duration(1000);
-        CHECK(fleet.round(ours()).empty());
+        CHECK(fleet.round(optimisingPlanner()).empty());
     }
     CHECK(fleet.allotted.groups == before.groups);
-    // It lasts: the groups are built elsewhere, and stay there when it returns.
+    // The outage lasts: the groups are rebuilt elsewhere and stay there when the domain returns.
     fleet.now += std::chrono::minutes(2);
-    fleet.round(ours());
-    fleet.settle(ours(), 3);
+    fleet.round(optimisingPlanner());
+    fleet.settle(optimisingPlanner(), 3);
     CHECK(fleet.serving() == 4);
     const auto moved = fleet.allotted;
-    for (const auto &id : dark) {
-        fleet.giveBack(id);
+    for (const auto &id : lostInstances) {
+        fleet.restore(id);
     }
-    fleet.settle(ours(), 5);
+    fleet.settle(optimisingPlanner(), 5);
     CHECK(fleet.allotted.groups == moved.groups);
 }
 
-TEST_CASE("A planned leave drains first and cuts nothing off")
+TEST_CASE("A group drains before a member that is about to leave is replaced")
 {
     planned_fleet fleet(1, 5, 4, 1);
-    fleet.settle(ours(), 3);
+    fleet.settle(optimisingPlanner(), 3);
     const auto leader = fleet.allotted.groups.front().members.front().instance;
     const auto leaving = fleet.allotted.groups.front().members[1].instance;
     fleet.setRunning(leader, 3);
-    fleet.leave(leaving);
-    CHECK(standingOf(fleet.allotted.groups.front(), fleet.tracker()) == group_standing::draining);
+    fleet.announceLeaving(leaving);
+    CHECK(groupStateOf(fleet.allotted.groups.front(), fleet.tracker()) == group_state::draining);
     const auto generationBefore = fleet.allotted.groups.front().current;
     fleet.now += duration(5000);
-    CHECK(hasAction(fleet.round(ours()), plan_action::drain));
+    CHECK(hasAction(fleet.round(optimisingPlanner()), plan_action::drain));
     for (int second = 0; second < 60; ++second) {
         fleet.now += duration(1000);
-        fleet.round(ours());
+        fleet.round(optimisingPlanner());
         CHECK(fleet.allotted.groups.front().current == generationBefore);
     }
     fleet.setRunning(leader, 0);
     fleet.now += duration(1000);
-    CHECK(hasAction(fleet.round(ours()), plan_action::use_standby));
+    CHECK(hasAction(fleet.round(optimisingPlanner()), plan_action::use_standby));
     CHECK(fleet.serving() == 1);
 }
 
-TEST_CASE("A new version rolls group by group, and the kept share goes on serving")
+TEST_CASE("A new version is rolled out group by group while the minimum share of groups keeps serving")
 {
     planned_fleet fleet(4, 5, 4, 4);
-    fleet.settle(ours(), 4);
+    fleet.settle(optimisingPlanner(), 4);
     fleet.wants.front().wanted.version = "2";
     for (int second = 0; second < 120; ++second) {
         fleet.now += duration(1000);
-        fleet.round(ours(), false);
+        fleet.round(optimisingPlanner(), false);
         CHECK(fleet.serving() >= 3);
         if (second % 5 == 4) {
-            fleet.round(ours());
+            fleet.round(optimisingPlanner());
         }
     }
     CHECK(fleet.serving() == 4);
@@ -326,88 +326,88 @@
     }
 }
 
-TEST_CASE("When capacity is short the higher priority gets it")
+TEST_CASE("The deployment with the higher priority gets scarce capacity")
 {
     planned_fleet fleet(1, 8, 4, 1);
     fleet.add("notes", 1, 4, 1);
-    fleet.settle(ours(), 3);
+    fleet.settle(optimisingPlanner(), 3);
     CHECK(fleet.serving() == 2);
     for (const auto &group : fleet.allotted.groups) {
         if (group.deployment == deployment_id("model")) {
-            fleet.lose(group.members[2].instance);
+            fleet.fail(group.members[2].instance);
             break;
         }
     }
     fleet.now += duration(5000);
-    fleet.settle(ours(), 4);
+    fleet.settle(optimisingPlanner(), 4);
     REQUIRE(fleet.allotted.groups.size() == 1);
     CHECK(fleet.allotted.groups.front().deployment == deployment_id("model"));
     CHECK(fleet.serving() == 1);
 }
 
-TEST_CASE("An instance that keeps failing is not placed again for a while")
+TEST_CASE("An instance that fails repeatedly is held down for a while")
 {
     planned_fleet fleet(1, 4, 4, 1);
-    fleet.settle(ours(), 2);
+    fleet.settle(optimisingPlanner(), 2);
     const auto flapping = fleet.allotted.groups.front().members.front().instance;
     for (int i = 0; i < 3; ++i) {
-        fleet.lose(flapping);
+        fleet.fail(flapping);
         fleet.now += duration(20000);
-        fleet.giveBack(flapping);
+        fleet.restore(flapping);
         fleet.now += duration(20000);
     }
     const auto *tracked = findInstance(fleet.tracker(), flapping);
-    CHECK(isHeld(*tracked, tracker_limits(), fleet.now));
-    CHECK_FALSE(isHeld(*tracked, tracker_limits(), fleet.now + std::chrono::minutes(20)));
+    CHECK(isHeldDown(*tracked, tracker_limits(), fleet.now));
+    CHECK_FALSE(isHeldDown(*tracked, tracker_limits(), fleet.now + std::chrono::minutes(20)));
 }
 
-TEST_CASE("Where engines ignore fencing numbers an instance that leaves a group is withheld before it is used again")
+TEST_CASE("An instance whose engine ignores fencing numbers is withheld after it has left a group")
 {
     planned_fleet fleet(1, 4, 4, 1);
     fleet.wants.front().wanted.enginesCheckFencing = false;
-    fleet.settle(ours(), 2);
+    fleet.settle(optimisingPlanner(), 2);
     REQUIRE(fleet.serving() == 1);
     fleet.wants.front().replicas = 0;
-    fleet.settle(ours(), 2);
+    fleet.settle(optimisingPlanner(), 2);
     REQUIRE(fleet.allotted.groups.empty());
     CHECK(fleet.allotted.withheld.size() == 4);
-    // The coordinator waits for them; until then nothing is formed from them, afterwards it is and they are withheld no more.
+    // No group is formed from withheld instances until they may be reused; then they are no longer withheld.
     for (const auto &entry : fleet.allotted.withheld) {
-        fleet.notBefore[entry.instance] = fleet.now + duration(3000);
+        fleet.reusableFrom[entry.instance] = fleet.now + duration(3000);
     }
     fleet.wants.front().replicas = 1;
     fleet.now += duration(1000);
-    fleet.round(ours());
+    fleet.round(optimisingPlanner());
     CHECK(fleet.allotted.groups.empty());
     fleet.now += duration(3000);
-    fleet.round(ours());
+    fleet.round(optimisingPlanner());
     CHECK(fleet.allotted.groups.size() == 1);
     CHECK(fleet.allotted.withheld.empty());
 }
 
-TEST_CASE("Only a load that goes on may wait before it is told")
+TEST_CASE("Only a change of load that leaves an instance busy may be reported later")
 {
-    engine_state told;
-    told.load.running = 3;
-    auto newer = told;
+    engine_state reported;
+    reported.load.running = 3;
+    auto newer = reported;
     newer.load.running = 9;
-    CHECK_FALSE(isNews(told, newer));
+    CHECK_FALSE(needsImmediateReport(reported, newer));
     newer.load.running = 0;
-    CHECK(isNews(told, newer));
-    newer = told;
+    CHECK(needsImmediateReport(reported, newer));
+    newer = reported;
     newer.isLeaving = true;
-    CHECK(isNews(told, newer));
-    newer = told;
+    CHECK(needsImmediateReport(reported, newer));
+    newer = reported;
     newer.phase = engine_phase::failed;
-    CHECK(isNews(told, newer));
+    CHECK(needsImmediateReport(reported, newer));
 }
 
-TEST_CASE("Followers try ever more rarely, and not in step, while the service does not let them")
+TEST_CASE("Followers back off with jitter while they fail to become coordinator")
 {
     const instance_tracker tracker;
     const std::optional<std::vector<deployment_want>> wants;
-    int tries = 0;
-    std::set<instant> lastTries;
+    int attempts = 0;
+    std::set<instant> lastAttempts;
     for (int daemon = 0; daemon < 50; ++daemon) {
         coordinator_settings settings;
         settings.self = daemon_id(fmt::format("d{}", daemon));
@@ -417,17 +417,17 @@
             const coordinator_view view{tracker, wants, {}, false, now, 0};
             for (const auto &action : step(state, coordinator_tick{}, view)) {
                 REQUIRE(std::holds_alternative<acquire_coordination>(action));
-                ++tries;
+                ++attempts;
                 last = now;
                 step(state, acquisition_answer{now, false, {}}, view);
             }
         }
-        lastTries.insert(last);
+        lastAttempts.insert(last);
     }
-    // A try a second would be sixty each.
-    CHECK(tries < 50 * 12);
-    CHECK(tries >= 50 * 5);
-    CHECK(lastTries.size() > 15);
+    // An attempt each second would make 60 for each follower.
+    CHECK(attempts < 50 * 12);
+    CHECK(attempts >= 50 * 5);
+    CHECK(lastAttempts.size() > 15);
 }
 
 TEST_CASE("An engine that goes back to a lower fencing number is counted")
@@ -435,45 +435,45 @@
     instance_tracker tracker;
     listed_instance listed;
     listed.id = instance_id("i1");
-    takeList(tracker, {listed});
+    applyInstanceList(tracker, {listed});
     engine_state state;
     state.instance = listed.id;
     state.confirmed = generation(7);
-    takeObservation(tracker, {listed.id, state}, instant(duration(1)));
+    applyObservation(tracker, {listed.id, state}, instant(duration(1)));
     state.confirmed = generation(5);
-    takeObservation(tracker, {listed.id, state}, instant(duration(2)));
+    applyObservation(tracker, {listed.id, state}, instant(duration(2)));
     CHECK(tracker.staleOrdersObeyed == 1);
-    // A restarted engine has forgotten its number, and proves nothing.
+    // A restarted engine has forgotten its fencing number, so a lower one shows nothing.
     state.run = incarnation(2);
     state.confirmed = generation(0);
-    takeObservation(tracker, {listed.id, state}, instant(duration(3)));
+    applyObservation(tracker, {listed.id, state}, instant(duration(3)));
     CHECK(tracker.staleOrdersObeyed == 1);
 }
 
-TEST_CASE("Replicas are split by room, as the naive rounding would, and never above it", "[fuzz]")
+TEST_CASE("Replicas are split in proportion to capacity, as rounded exact shares would be, and never above it", "[fuzz]")
 {
     const auto property = [] {
         const auto replicas = *rc::gen::inRange(0, 60);
-        const auto rooms = *rc::gen::nonEmpty(rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 30)));
-        std::vector<data_centre_offer> offers;
+        const auto capacityByDataCentre = *rc::gen::nonEmpty(rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 30)));
+        std::vector<data_centre_capacity> capacities;
         int total = 0;
-        for (std::size_t i = 0; i < rooms.size(); ++i) {
-            offers.push_back({data_centre_id(fmt::format("dc{:02}", i)), rooms[i]});
-            total += rooms[i];
+        for (std::size_t i = 0; i < capacityByDataCentre.size(); ++i) {
+            capacities.push_back({data_centre_id(fmt::format("dc{:02}", i)), capacityByDataCentre[i]});
+            total += capacityByDataCentre[i];
         }
-        const auto shares = shareReplicas(replicas, offers);
-        std::reverse(offers.begin(), offers.end());
-        const auto other = shareReplicas(replicas, offers);
-        int given = 0;
+        const auto shares = shareReplicas(replicas, capacities);
+        std::reverse(capacities.begin(), capacities.end());
+        const auto other = shareReplicas(replicas, capacities);
+        int assigned = 0;
         for (std::size_t i = 0; i < shares.size(); ++i) {
-            given += shares[i].replicas;
-            RC_ASSERT(shares[i].replicas <= rooms[i]);
+            assigned += shares[i].replicas;
+            RC_ASSERT(shares[i].replicas <= capacityByDataCentre[i]);
             RC_ASSERT(shares[i].replicas == other[i].replicas);
-            // The naive version: the exact share, rounded either way.
-            const auto exact = total == 0 ? 0.0 : static_cast<double>(std::min(replicas, total)) * rooms[i] / total;
+            // Reference: the exact share, rounded up or down.
+            const auto exact = total == 0 ? 0.0 : static_cast<double>(std::min(replicas, total)) * capacityByDataCentre[i] / total;
             RC_ASSERT(std::abs(shares[i].replicas - exact) < 1);
         }
-        RC_ASSERT(given == std::min(replicas, total));
+        RC_ASSERT(assigned == std::min(replicas, total));
     };
     checkProperty("shares", 200, property);
 }
--- a/Tests/Groups/testTakeover.cpp
+++ b/Tests/Groups/testTakeover.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "Libraries/Groups/coordinator.h"
-#include "Libraries/Groups/group_standing.h"
+#include "Libraries/Groups/group_state.h"
 #include "Tests/Fakes/fake_key_value_store.h"
 
 #include <catch2/catch.hpp>
@@ -35,11 +35,11 @@
     return wanted;
 }
 
-/// Four healthy groups that a coordinator before formed, and a successor whose view comes to it part by part.
-class takeover
+/// Four healthy groups formed by a previous coordinator, and a successor whose view becomes available part by part.
+class takeover_simulation
 {
 public:
-    takeover()
+    takeover_simulation()
     {
         m_allotted.current = epoch(1);
         m_allotted.coordinator = daemon_id("before");
@@ -63,7 +63,7 @@
         m_state = makeCoordinator(settings);
     }
 
-    void tell(view_part part)
+    void provide(view_part part)
     {
         switch (part) {
         case view_part::configuration:
@@ -76,10 +76,10 @@
             }
             break;
         case view_part::list:
-            takeList(m_tracker, m_listed);
+            applyInstanceList(m_tracker, m_listed);
             break;
         case view_part::members:
-            m_areMembersHeard = true;
+            m_areMembersObserved = true;
             break;
         }
     }
@@ -89,8 +89,8 @@
         const auto end = m_now + time;
         for (; m_now < end; m_now += tick) {
             for (const auto &state : m_states) {
-                if (m_areMembersHeard) {
-                    takeObservation(m_tracker, {state.instance, state}, m_now);
+                if (m_areMembersObserved) {
+                    applyObservation(m_tracker, {state.instance, state}, m_now);
                 }
             }
             handle(coordinator_tick{});
@@ -165,53 +165,53 @@
     instance_tracker m_tracker;
     std::optional<std::vector<deployment_want>> m_wants;
     bool m_isShareKnown = false;
-    bool m_areMembersHeard = false;
+    bool m_areMembersObserved = false;
     instant m_now{duration(1000000)};
 };
 
 } // namespace
 
-TEST_CASE("A successor leaves healthy groups alone in whatever order its view comes to it")
+TEST_CASE("A new coordinator leaves healthy groups alone whatever the order in which the parts of its view become available")
 {
     std::array order = {view_part::configuration, view_part::share, view_part::list, view_part::members};
     do {
-        takeover world;
+        takeover_simulation simulation;
         for (const auto part : order) {
-            world.run(std::chrono::seconds(1));
-            world.tell(part);
+            simulation.run(std::chrono::seconds(1));
+            simulation.provide(part);
         }
-        world.run(std::chrono::seconds(30));
-        CHECK(world.hasTakenOver());
-        CHECK(world.healthyGroups() == replicas);
+        simulation.run(std::chrono::seconds(30));
+        CHECK(simulation.hasTakenOver());
+        CHECK(simulation.healthyGroups() == replicas);
     } while (std::next_permutation(order.begin(), order.end()));
 }
 
-TEST_CASE("A successor to whom one part of its view never comes takes nothing down")
+TEST_CASE("A new coordinator that never gets one part of its view takes no group down")
 {
     for (const auto missing : {view_part::configuration, view_part::share, view_part::list}) {
-        takeover world;
+        takeover_simulation simulation;
         for (const auto part : {view_part::configuration, view_part::share, view_part::list, view_part::members}) {
             if (part != missing) {
-                world.tell(part);
+                simulation.provide(part);
             }
         }
-        world.run(std::chrono::minutes(2));
-        CHECK(world.hasTakenOver());
-        CHECK(world.healthyGroups() == replicas);
+        simulation.run(std::chrono::minutes(2));
+        CHECK(simulation.hasTakenOver());
+        CHECK(simulation.healthyGroups() == replicas);
     }
 }
 
-TEST_CASE("Members that nobody hears of are given their time, and are repaired after it")
+TEST_CASE("Members without an observation are waited for, and their groups are repaired after that")
 {
-    takeover world;
+    takeover_simulation simulation;
     for (const auto part : {view_part::configuration, view_part::share, view_part::list}) {
-        world.tell(part);
+        simulation.provide(part);
     }
-    world.run(std::chrono::seconds(4));
-    CHECK(world.healthyGroups() == replicas);
-    REQUIRE(world.decisions().size() == 1);
-    CHECK(world.decisions().front().action == plan_action::wait);
-    world.run(std::chrono::seconds(3));
-    // The time is over: the groups are planned for as broken ones, of which none is removed.
-    CHECK((world.decisions().empty() || world.decisions().front().group != group_id()));
+    simulation.run(std::chrono::seconds(4));
+    CHECK(simulation.healthyGroups() == replicas);
+    REQUIRE(simulation.decisions().size() == 1);
+    CHECK(simulation.decisions().front().action == plan_action::wait);
+    simulation.run(std::chrono::seconds(3));
+    // The waiting time is over: planning proceeds with the groups as broken ones and removes none.
+    CHECK((simulation.decisions().empty() || simulation.decisions().front().group != group_id()));
 }
