--- a/Libraries/Assembly/assembly_state.cpp
+++ b/Libraries/Assembly/assembly_state.cpp
@@ -98,8 +98,9 @@
         return;
     }
     if (order.kind == order_kind::probe) {
-        const bool isOfAnotherLife = answer.life != replica_life() && isAnotherIncarnation(answer.life, order.life);
-        if (answer.result == order_result::accepted && !isOfAnotherLife) {
+        const bool isFromAnotherIncarnation
+            = answer.incarnation != replica_incarnation() && isAnotherIncarnation(answer.incarnation, order.incarnation);
+        if (answer.result == order_result::accepted && !isFromAnotherIncarnation) {
             state.acceptedOrders[order.to] = answer.acceptedOrders;
         }
         return;
@@ -118,8 +119,8 @@
 /// Whether the replica has restarted since the order was planned, so that the answer does not concern its current incarnation.
 bool isFromEarlierIncarnation(const assembly_state &state, const replica_order &order)
 {
-    const auto life = state.incarnations.find(order.to);
-    return life != state.incarnations.end() && isAnotherIncarnation(life->second, order.life);
+    const auto incarnation = state.incarnations.find(order.to);
+    return incarnation != state.incarnations.end() && isAnotherIncarnation(incarnation->second, order.incarnation);
 }
 
 bool isDone(order_result result)
--- a/Libraries/Assembly/assembly_state.h
+++ b/Libraries/Assembly/assembly_state.h
@@ -54,7 +54,7 @@
     /// join, so that a delayed copy of it has no effect.
     std::uint64_t expectedOrders = 0;
     /// The incarnation of the replica that the order addresses.
-    replica_life life = {};
+    replica_incarnation incarnation = {};
     /// Whether the order begins a load that does not count against the weight store's rate before the first request.
     bool isFreeLoad = false;
 };
@@ -81,7 +81,7 @@
 {
     instance_id instance;
     /// The incarnation that was ordered to join; a later one is not a member.
-    replica_life life;
+    replica_incarnation incarnation;
     /// Kept so that a head that vanished from the directory can still be ordered to close.
     endpoint address;
     /// Whether the replica has accepted this group's join.
@@ -110,7 +110,7 @@
     /// For a probe: the number of orders that the replica has accepted.
     std::uint64_t acceptedOrders = 0;
     /// For a probe: the incarnation that answered; "never" if the answer does not contain it.
-    replica_life life = {};
+    replica_incarnation incarnation = {};
 };
 
 std::string_view assemblyStageName(assembly_stage stage);
@@ -205,7 +205,7 @@
     /// When this term's first round was planned.
     instant since;
     /// The incarnation of each listed replica that the other per-replica fields describe.
-    std::map<instance_id, replica_life> incarnations;
+    std::map<instance_id, replica_incarnation> incarnations;
     /// The number of orders that each replica has accepted, where it is known.
     std::map<instance_id, std::uint64_t> acceptedOrders;
     std::map<group_id, planned_group> groups;
--- a/Libraries/Assembly/group_forming.cpp
+++ b/Libraries/Assembly/group_forming.cpp
@@ -289,7 +289,7 @@
     for (const auto *replica : soonestReady(availableFor(model, domain), model)) {
         planned_member member;
         member.instance = replica->id;
-        member.life = replica->life;
+        member.incarnation = replica->incarnation;
         member.address = replica->address;
         group.members.push_back(member);
         if (readinessOf(*replica, model.id) == readiness::must_load) {
--- a/Libraries/Assembly/plan_assembly.cpp
+++ b/Libraries/Assembly/plan_assembly.cpp
@@ -14,7 +14,7 @@
 {
     planned_member member;
     member.instance = replica.id;
-    member.life = replica.life;
+    member.incarnation = replica.incarnation;
     member.address = replica.address;
     member.hasJoined = true;
     return member;
@@ -79,9 +79,9 @@
 {
     std::erase_if(m_state.incarnations, [&](const auto &entry) { return find(entry.first) == nullptr; });
     for (const auto &[id, replica] : m_view.directory.replicas) {
-        const auto [known, isNew] = m_state.incarnations.try_emplace(id, replica.life);
-        if (!isNew && isAnotherIncarnation(known->second, replica.life)) {
-            known->second = replica.life;
+        const auto [known, isNew] = m_state.incarnations.try_emplace(id, replica.incarnation);
+        if (!isNew && isAnotherIncarnation(known->second, replica.incarnation)) {
+            known->second = replica.incarnation;
             resetInstance(id);
         }
     }
@@ -214,7 +214,7 @@
             continue;
         }
         replica_order order{
-            order_kind::close, head->id, head->address, reported.id, reported.formed, {}, {}, close_method::cut, 0, head->life};
+            order_kind::close, head->id, head->address, reported.id, reported.formed, {}, {}, close_method::cut, 0, head->incarnation};
         m_state.avoidedUntil[head->id] = m_view.now + m_state.policy.orderRetryDelay;
         m_state.decisions.push_back(fmt::format("closing an unplanned head: group={} head={}", reported.id.value(), head->id.value()));
         m_orders.push_back(std::move(order));
--- a/Libraries/Assembly/round_queries.cpp
+++ b/Libraries/Assembly/round_queries.cpp
@@ -131,7 +131,7 @@
 bool assembly_round::hasStartedAgain(const planned_member &member) const
 {
     const auto *replica = find(member.instance);
-    return replica != nullptr && isAnotherIncarnation(replica->life, member.life);
+    return replica != nullptr && isAnotherIncarnation(replica->incarnation, member.incarnation);
 }
 
 readiness assembly_round::readinessOf(const served_replica &replica, const model_id &model)
@@ -263,7 +263,7 @@
         order.kind = known ? kind : order_kind::probe;
         order.expectedOrders = known.value_or(0);
     }
-    order.life = member.life;
+    order.incarnation = member.incarnation;
     order.isFreeLoad = order.kind == order_kind::join && m_view.isBeforeTraffic && mustLoad(group, member);
     for (const auto &other : group.members) {
         order.members.push_back(other.instance);
--- a/Libraries/Assembly/silent_replicas.cpp
+++ b/Libraries/Assembly/silent_replicas.cpp
@@ -29,7 +29,8 @@
 bool isExpired(const suspicion &suspected, const replica_directory &directory, const instance_id &id, instant now)
 {
     const auto found = directory.replicas.find(id);
-    return suspected.until <= now || found == directory.replicas.end() || isAnotherIncarnation(found->second.life, suspected.life);
+    return suspected.until <= now || found == directory.replicas.end()
+        || isAnotherIncarnation(found->second.incarnation, suspected.incarnation);
 }
 
 } // namespace
@@ -115,8 +116,8 @@
     if (answered > probe.began) {
         return false;
     }
-    const bool isNew = !isSuspected || isAnotherIncarnation(known->second.life, probe.life);
-    silent.suspected[replica] = {probe.began, probe.began + suspicionTime, probe.life};
+    const bool isNew = !isSuspected || isAnotherIncarnation(known->second.incarnation, probe.incarnation);
+    silent.suspected[replica] = {probe.began, probe.began + suspicionTime, probe.incarnation};
     return isNew;
 }
 
--- a/Libraries/Assembly/silent_replicas.h
+++ b/Libraries/Assembly/silent_replicas.h
@@ -19,7 +19,7 @@
     instant began;
     bool hasAnswered = false;
     /// The incarnation of the replica that was probed.
-    replica_life life = {};
+    replica_incarnation incarnation = {};
 };
 
 /// Suspicion that a replica is dead.
@@ -28,7 +28,7 @@
     /// When the probe began that it is based on.
     instant began;
     instant until;
-    replica_life life;
+    replica_incarnation incarnation;
 };
 
 /// Failure detector state: replicas that did not answer the coordinator's probes.
--- a/Libraries/Assembly/weight_staging.cpp
+++ b/Libraries/Assembly/weight_staging.cpp
@@ -202,7 +202,8 @@
     m_state.loads.push_back(m_view.now);
     m_state.stagings[replica.id] = {model, m_view.now};
     m_state.decisions.push_back(fmt::format("staging: instance={} model={}", replica.id.value(), model.value()));
-    m_orders.push_back({order_kind::stage, replica.id, replica.address, {}, {}, model, {}, {}, 0, replica.life, m_view.isBeforeTraffic});
+    m_orders.push_back(
+        {order_kind::stage, replica.id, replica.address, {}, {}, model, {}, {}, 0, replica.incarnation, m_view.isBeforeTraffic});
 }
 
 } // namespace vetchpost
--- a/Libraries/Base/digest.h
+++ b/Libraries/Base/digest.h
@@ -7,11 +7,12 @@
 
 namespace vetchpost {
 
-/// A fast hash for placement and routing (XXH3). It is the same in every process; it is no protection against forgery.
+/// Returns the 64-bit XXH3 hash of \a text, for placement and routing. The result is the same in every process; it is not a cryptographic
+/// hash.
 std::uint64_t hashOf(std::string_view text, std::uint64_t seed = 0);
-/// 128 bits of the same hash in hexadecimal, for keys that are compared but never shown.
+/// Returns the 128-bit XXH3 hash of \a text as 32 hexadecimal digits, for values that are compared without being shown.
 std::string fingerprintOf(std::string_view text);
-/// Compares two secrets in a time that does not depend on where they differ.
+/// Returns whether two secrets are equal. The time that the comparison takes does not depend on where they differ.
 bool isSameSecret(std::string_view left, std::string_view right);
 
 } // namespace vetchpost
--- a/Libraries/Base/endpoint.h
+++ b/Libraries/Base/endpoint.h
@@ -8,18 +8,18 @@
 
 namespace vetchpost {
 
-/// An IP number and a port.
+/// An IPv4 address and a port.
 struct endpoint
 {
     std::string host;
     std::uint16_t port = 0;
 
     auto operator<=>(const endpoint &) const = default;
-    /// The form "host:port".
+    /// Returns the endpoint in the form "host:port".
     std::string text() const;
 };
 
-/// Reads the form "host:port" with an IPv4 number; nothing where the text is not one.
+/// Parses "host:port" with a numeric IPv4 address and a port from 1 to 65535. Returns nothing for any other text.
 std::optional<endpoint> parseEndpoint(const std::string &text);
 
 } // namespace vetchpost
--- a/Libraries/Base/error_kind.h
+++ b/Libraries/Base/error_kind.h
@@ -9,7 +9,7 @@
 
 namespace vetchpost {
 
-/// The closed list of what can go wrong. errorAnswer() gives the answer to each.
+/// All kinds of errors. errorAnswer() returns the answer that belongs to each.
 enum class error_kind {
     malformed_request,
     body_too_large,
@@ -48,29 +48,29 @@
 
 constexpr std::size_t errorKindCount = static_cast<std::size_t>(error_kind::count);
 
-/// Whether the request that met an error has been acted on by a backend server.
+/// Whether a backend server has executed a request that failed.
 enum class run_state { not_run, may_have_run, ran };
 
-/// What a caller is told for one kind of error.
+/// The answer that a client receives for one kind of error.
 struct error_answer
 {
     error_kind kind;
-    /// The name in the answer's body and in the counter's label.
+    /// The name of the error in the body of the answer and in the label of the metric.
     std::string_view name;
     int httpStatus;
     run_state ran;
-    /// Zero where coming back makes no sense.
+    /// The time after which the client should retry; zero if a retry is of no use.
     std::chrono::seconds retryAfter;
 };
 
-/// The answer to one kind of error.
+/// Returns the answer to an error of kind \a kind.
 const error_answer &errorAnswer(error_kind kind);
-/// The whole table, for counters and documentation.
+/// Returns the answers to all kinds of errors, in the order of error_kind, for metrics and documentation.
 const std::array<error_answer, errorKindCount> &errorAnswers();
-/// The word for a run state in answers: "not_run", "may_have_run" or "ran".
+/// Returns the name of a run state as it stands in answers: "not_run", "may_have_run" or "ran".
 std::string_view runStateName(run_state state);
 
-/// Why the last call gave no value.
+/// The reason why a call returned no value.
 struct reason
 {
     error_kind kind = error_kind::internal;
--- a/Libraries/Base/event_log.cpp
+++ b/Libraries/Base/event_log.cpp
@@ -3,7 +3,7 @@
 
 #include "Libraries/Base/instant.h"
 #include "Libraries/Base/json.h"
-#include "Libraries/Base/line_budget.h"
+#include "Libraries/Base/line_rate_limit.h"
 
 #include <fmt/format.h>
 
@@ -22,22 +22,22 @@
 
 namespace {
 
-/// About a thousand lines; a burst beyond it is counted and left out.
+/// The size of the queue, about a thousand lines. Lines beyond it are dropped and counted.
 constexpr std::size_t maximumQueuedBytes = 256U * 1024U;
-/// Lines are gathered for so long, so that many go out with one system call.
-constexpr duration gatherTime(200);
-/// How long the writer waits for a reader that is too slow before it looks whether it should stop.
-constexpr duration readerPatience(500);
-/// How often what is gathered elsewhere is asked for.
-constexpr duration gatheredPeriod(500);
-/// How often it is told what was left out.
-constexpr duration leftOutPeriod(1000);
-
-struct part_budget
-{
-    line_budget budget;
-    std::uint64_t leftOut = 0;
-    std::uint64_t toldLeftOut = 0;
+/// The time for which lines are collected, so that one system call writes many of them.
+constexpr duration batchDelay(200);
+/// The time that the writer waits for a slow reader before it checks whether it should stop.
+constexpr duration readerPollTimeout(500);
+/// The longest time that the writer waits for a line before it starts a batch.
+constexpr duration collectPeriod(500);
+/// The time between two reports of dropped lines.
+constexpr duration dropReportPeriod(1000);
+
+struct part_state
+{
+    line_rate_limit rateLimit;
+    std::uint64_t dropped = 0;
+    std::uint64_t reportedDropped = 0;
 };
 
 struct log_queue
@@ -46,9 +46,9 @@
     std::condition_variable wake;
     std::string lines;
     std::string daemon;
-    /// By part.
-    std::map<std::string, part_budget, std::less<>> parts;
-    instant nextTold;
+    /// By name of the part.
+    std::map<std::string, part_state, std::less<>> parts;
+    instant nextDropReport;
     std::function<void()> beforeWriting;
     std::atomic<bool> isOn = true;
     bool isStopping = false;
@@ -63,12 +63,12 @@
     return *instance;
 }
 
-/// Writes as far as the reader takes it; the rest is given up once the process stops.
-void writeOut(log_queue &log, std::string_view text)
+/// Writes \a text to standard output as fast as it is read. Discards the rest once the log is stopping and the reader does not keep up.
+void writeToOutput(log_queue &log, std::string_view text)
 {
     while (!text.empty()) {
         pollfd output{STDOUT_FILENO, POLLOUT, 0};
-        const auto ready = poll(&output, 1, static_cast<int>(readerPatience.count()));
+        const auto ready = poll(&output, 1, static_cast<int>(readerPollTimeout.count()));
         if (ready <= 0) {
             const std::lock_guard lock(log.mutex);
             if (log.isStopping) {
@@ -76,20 +76,20 @@
             }
             continue;
         }
-        // A pipe that can be written to takes so much without blocking.
+        // A writable pipe accepts PIPE_BUF bytes without blocking.
         const auto count = ::write(STDOUT_FILENO, text.data(), std::min<std::size_t>(text.size(), PIPE_BUF));
         if (count < 0 && errno != EINTR && errno != EAGAIN) {
-            // The reader is gone: nobody is left to tell.
+            // The reader has closed the pipe.
             return;
         }
         text.remove_prefix(count > 0 ? static_cast<std::size_t>(count) : 0);
     }
 }
 
-/// The mutex is held.
+/// Appends a line to the queue. The caller must hold the mutex.
 void append(log_queue &log, std::string_view part, std::string_view event, std::string_view fields)
 {
-    // The steady clock orders the lines of one process; the calendar one relates those of several.
+    // The monotonic time orders the lines of one process; the calendar time relates the lines of several processes.
     log.lines += fmt::format("{{\"ms\":{},\"steady_ms\":{},\"daemon\":{},\"part\":\"{}\",\"event\":\"{}\"{}}}\n",
                              calendarMilliseconds(),
                              monotonicNow().time_since_epoch().count(),
@@ -99,18 +99,19 @@
                              fields);
 }
 
-/// The mutex is held. What was left out is told beyond all bounds: one line a part, seldom.
-void tellLeftOut(log_queue &log)
+/// Appends a line with the number of dropped lines for each part that has dropped any since the last report. These lines are exempt from
+/// the rate limits and the size of the queue, as there is at most one per part and reporting period. The caller must hold the mutex.
+void reportDroppedLines(log_queue &log)
 {
     const auto now = monotonicNow();
-    if (now < log.nextTold && !log.isStopping) {
+    if (now < log.nextDropReport && !log.isStopping) {
         return;
     }
-    log.nextTold = now + leftOutPeriod;
+    log.nextDropReport = now + dropReportPeriod;
     for (auto &[part, lines] : log.parts) {
-        if (lines.leftOut != lines.toldLeftOut) {
-            append(log, "log", "lines_left_out", fmt::format(",\"of\":\"{}\",\"count\":{}", part, lines.leftOut - lines.toldLeftOut));
-            lines.toldLeftOut = lines.leftOut;
+        if (lines.dropped != lines.reportedDropped) {
+            append(log, "log", "lines_left_out", fmt::format(",\"of\":\"{}\",\"count\":{}", part, lines.dropped - lines.reportedDropped));
+            lines.reportedDropped = lines.dropped;
         }
     }
 }
@@ -120,9 +121,9 @@
     for (bool isStopping = false; !isStopping;) {
         {
             std::unique_lock lock(log.mutex);
-            log.wake.wait_for(lock, gatheredPeriod, [&] { return log.isStopping || !log.lines.empty(); });
+            log.wake.wait_for(lock, collectPeriod, [&] { return log.isStopping || !log.lines.empty(); });
             if (!log.isStopping) {
-                log.wake.wait_for(lock, gatherTime, [&] { return log.isStopping; });
+                log.wake.wait_for(lock, batchDelay, [&] { return log.isStopping; });
             }
             isStopping = log.isStopping;
         }
@@ -132,14 +133,14 @@
         std::string lines;
         {
             const std::lock_guard lock(log.mutex);
-            tellLeftOut(log);
+            reportDroppedLines(log);
             lines.swap(log.lines);
         }
-        writeOut(log, lines);
+        writeToOutput(log, lines);
     }
 }
 
-void write(std::string_view part, std::string_view event, std::initializer_list<event_field> fields, line_weight weight)
+void write(std::string_view part, std::string_view event, std::initializer_list<event_field> fields, line_priority priority)
 {
     auto &log = queue();
     if (!log.isOn) {
@@ -153,11 +154,12 @@
     const std::lock_guard lock(log.mutex);
     auto found = log.parts.find(part);
     if (found == log.parts.end()) {
-        found = log.parts.emplace(part, part_budget()).first;
+        found = log.parts.emplace(part, part_state()).first;
     }
     auto &lines = found->second;
-    if (!hasRoom(log.lines.size(), line.size(), maximumQueuedBytes, weight) || !takeLine(lines.budget, weight, monotonicNow())) {
-        ++lines.leftOut;
+    if (!fitsInQueue(log.lines.size(), line.size(), maximumQueuedBytes, priority)
+        || !admitLine(lines.rateLimit, priority, monotonicNow())) {
+        ++lines.dropped;
         return;
     }
     const bool isFirst = log.lines.empty();
@@ -185,12 +187,12 @@
 
 void event_log::write(std::string_view event, std::initializer_list<event_field> fields) const
 {
-    vetchpost::write(m_part, event, fields, line_weight::budgeted);
+    vetchpost::write(m_part, event, fields, line_priority::normal);
 }
 
-void event_log::writeKept(std::string_view event, std::initializer_list<event_field> fields) const
+void event_log::writeEssential(std::string_view event, std::initializer_list<event_field> fields) const
 {
-    vetchpost::write(m_part, event, fields, line_weight::kept);
+    vetchpost::write(m_part, event, fields, line_priority::essential);
 }
 
 void setEventLogOn(bool isOn)
@@ -235,8 +237,8 @@
 std::uint64_t droppedLogLines()
 {
     std::uint64_t count = 0;
-    for (const auto &[part, leftOut] : droppedLogLinesByPart()) {
-        count += leftOut;
+    for (const auto &[part, dropped] : droppedLogLinesByPart()) {
+        count += dropped;
     }
     return count;
 }
@@ -247,7 +249,7 @@
     const std::lock_guard lock(log.mutex);
     std::map<std::string, std::uint64_t> counts;
     for (const auto &[part, lines] : log.parts) {
-        counts.emplace(part, lines.leftOut);
+        counts.emplace(part, lines.dropped);
     }
     return counts;
 }
--- a/Libraries/Base/event_log.h
+++ b/Libraries/Base/event_log.h
@@ -11,7 +11,7 @@
 
 namespace vetchpost {
 
-/// One value of a log event.
+/// The value of a field of a log event.
 class event_value
 {
 public:
@@ -53,9 +53,9 @@
     event_value value;
 };
 
-/// The structured log of one part: one JSON object a line on standard output. Never blocks: lines wait in a bounded queue for a thread that
-/// writes them. They are counted and left out when it is full, or when their part has used up its budget of lines. Secrets and prompts are
-/// never logged.
+/// The structured log of one part of the program: one JSON object per line on standard output. Logging never blocks on the output: lines
+/// wait in a bounded queue for a writer thread. A line is dropped and counted when the queue is full or when its part exceeds its rate
+/// limit. Secrets and prompts must never be logged.
 class event_log
 {
 public:
@@ -64,26 +64,27 @@
     {
     }
 
+    /// Queues a line, subject to the rate limit of the part.
     void write(std::string_view event, std::initializer_list<event_field> fields) const;
-    /// Writes a line beyond the part's budget: it belongs to something that ended badly.
-    void writeKept(std::string_view event, std::initializer_list<event_field> fields) const;
+    /// Queues a line regardless of the rate limit of the part. For events that belong to a failure.
+    void writeEssential(std::string_view event, std::initializer_list<event_field> fields) const;
 
 private:
     std::string_view m_part;
 };
 
-/// The name that all lines of this process carry.
+/// Sets the name of the daemon that all lines of this process carry.
 void setEventLogDaemon(const std::string &daemon);
-/// Without the log nothing is written and nothing is counted as left out.
+/// Switches the log on or off. While it is off, nothing is written and nothing is counted as dropped.
 void setEventLogOn(bool isOn);
-/// Starts the thread that writes; before it, lines only queue up. \a beforeWriting is called on it at least twice a second, and a last time
-/// at the end, to write what was gathered meanwhile.
+/// Starts the writer thread; until then, lines only wait in the queue. The writer thread calls \a beforeWriting at least every 700 ms,
+/// unless a slow reader delays it, and once more when it stops, so that events which are collected elsewhere can be logged.
 void startEventLog(std::function<void()> beforeWriting = {});
-/// Writes what is left and ends the thread.
+/// Writes the remaining lines and stops the writer thread.
 void stopEventLog();
-/// Lines that were left out since the start.
+/// Returns the number of lines that were dropped since the start.
 std::uint64_t droppedLogLines();
-/// ... of each part.
+/// Returns the number of lines that were dropped since the start, by part.
 std::map<std::string, std::uint64_t> droppedLogLinesByPart();
 
 } // namespace vetchpost
--- a/Libraries/Base/identifier.h
+++ b/Libraries/Base/identifier.h
@@ -9,7 +9,7 @@
 
 namespace vetchpost {
 
-/// A name that cannot be mistaken for another kind of name. The empty value means "none".
+/// A name whose type depends on what it names, so that names of different kinds cannot be mixed up. The empty value means "none".
 template <class Tag>
 class identifier
 {
@@ -36,7 +36,8 @@
     std::string m_value;
 };
 
-/// A counter that cannot be mistaken for another kind of counter. It starts at 0, which means "never".
+/// A counter whose type depends on what it counts, so that counters of different kinds cannot be mixed up. It starts at 0, which means
+/// "never".
 template <class Tag>
 class sequence
 {
@@ -73,17 +74,17 @@
 using request_id = identifier<struct request_tag>;
 using edit_id = identifier<struct edit_tag>;
 
-/// The fencing number of a data centre's allotment: it rises with every coordinator that takes over.
+/// The fencing token of a data centre's allotment. It increases with every coordinator that takes over.
 using epoch = sequence<struct epoch_tag>;
-/// Rises each time the members, model or version of one group change.
+/// Increases each time the members, the model or the version of a group change.
 using generation = sequence<struct generation_tag>;
 /// The number of an accepted configuration.
 using revision = sequence<struct revision_tag>;
-/// The number that tells one run of a process from the next.
+/// Distinguishes one run of a daemon or engine process from the next.
 using incarnation = sequence<struct incarnation_tag>;
-/// Tells one start of a replica from the next under the same id. Lives compare as equal or not: the number may go down where a clock was
-/// set back.
-using replica_life = sequence<struct replica_life_tag>;
+/// Distinguishes one run of a replica's process from the next under the same instance id. Incarnations may only be compared for equality:
+/// the number can decrease if a clock was set back.
+using replica_incarnation = sequence<struct replica_incarnation_tag>;
 
 } // namespace vetchpost
 
--- a/Libraries/Base/instant.h
+++ b/Libraries/Base/instant.h
@@ -8,7 +8,7 @@
 
 namespace vetchpost {
 
-/// The clock of all decisions. Only the shells read the real one; tests and benchmarks supply their own.
+/// The clock type of all decisions. Only the outer layers read the real clock; tests and benchmarks supply their own times.
 struct decision_clock
 {
     using rep = std::int64_t;
@@ -19,18 +19,19 @@
 };
 
 using duration = decision_clock::duration;
-/// A point on a monotonic clock of this process, in milliseconds. Never compared between processes.
+/// A point in time on the monotonic clock of this process, in milliseconds. It must not be compared between processes.
 using instant = decision_clock::time_point;
 
-/// For figures, which are told in seconds.
+/// Returns a duration in seconds, the unit of metrics.
 inline double secondsOf(duration time)
 {
     return std::chrono::duration<double>(time).count();
 }
 
-/// The present, from the machine's monotonic clock that counts the time of a suspension too. The steady clock stands still meanwhile: keys
-/// that had been withdrawn were taken, and leases that had lapsed were held, for as long as the machine had been suspended. Waits still run
-/// on the steady clock: whoever wakes looks here what time it is, and none waits for longer than longestWait where an age depends on it.
+/// Returns the current time on the machine's monotonic clock, which also counts the time for which the machine is suspended. The steady
+/// clock of the standard library stops during a suspension, so that revoked keys would be accepted, and expired leases would be treated as
+/// held, for that much longer. Waits still use the steady clock. Code that wakes up must read the time from here, and must not wait longer
+/// than maxSteadyWait at a time if an age depends on it.
 inline instant monotonicNow()
 {
     timespec now{};
@@ -38,18 +39,20 @@
     return instant(std::chrono::duration_cast<duration>(std::chrono::seconds(now.tv_sec) + std::chrono::nanoseconds(now.tv_nsec)));
 }
 
-/// A wait that a suspension has stretched ends so soon after it: a quarter of a second is within the half by which an answer may be late.
-constexpr duration longestWait(250);
+/// The longest single wait on the steady clock. A wait that a suspension has prolonged ends within this time after the suspension; 250 ms
+/// is within the 500 ms by which an answer may be late.
+constexpr duration maxSteadyWait(250);
 
-/// Sleeps until then by the clock above; a suspension stretches it by no more than longestWait.
+/// Sleeps until \a end on the clock of monotonicNow(). A suspension prolongs the sleep by at most maxSteadyWait.
 inline void sleepUntil(instant end)
 {
     for (auto now = monotonicNow(); now < end; now = monotonicNow()) {
-        std::this_thread::sleep_for(std::min(longestWait, end - now));
+        std::this_thread::sleep_for(std::min(maxSteadyWait, end - now));
     }
 }
 
-/// Milliseconds of the calendar clock, for records that other processes read; never for a decision of safety.
+/// Returns the calendar time in milliseconds since the Unix epoch, for records that other processes read. Decisions that affect safety must
+/// not depend on it.
 inline std::int64_t calendarMilliseconds()
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
--- a/Libraries/Base/json.cpp
+++ b/Libraries/Base/json.cpp
@@ -39,7 +39,7 @@
 
 std::optional<Json::Value> parseJson(const std::string &text)
 {
-    // A reader and a writer are costly to make and cheap to use again.
+    // Readers and writers are expensive to create and cheap to reuse.
     thread_local const std::unique_ptr<Json::CharReader> reader(makeReaderBuilder().newCharReader());
     Json::Value value;
     try {
@@ -48,7 +48,7 @@
             return std::nullopt;
         }
     } catch (const Json::Exception &) {
-        // The depth limit is reported by an exception.
+        // The parser reports an exceeded depth limit with an exception.
         return std::nullopt;
     }
     return value;
--- a/Libraries/Base/json.h
+++ b/Libraries/Base/json.h
@@ -8,21 +8,21 @@
 
 namespace vetchpost {
 
-/// The value that \a text holds, or nothing where it is not one JSON document of bounded depth.
+/// Parses one JSON document. Returns nothing if \a text is not valid JSON or is nested more deeply than the limit.
 std::optional<Json::Value> parseJson(const std::string &text);
-/// The shortest text of \a value.
+/// Returns \a value as JSON without white space between its tokens.
 std::string toJsonText(const Json::Value &value);
 
-/// A text as JSON writes it, with its quotes; text after a NUL is left out. Much cheaper than a whole value.
+/// Returns \a text as a JSON string with its quotes; anything after a NUL character is left out. Much cheaper than building a JSON value.
 std::string quotedJson(const std::string &text);
 
-/// A member that must be a string; the empty string where it is missing or of another type.
+/// Returns a member of \a object that is a string; the empty string if it is missing or of another type.
 std::string jsonString(const Json::Value &object, const char *name);
-/// A member that must be a whole number from 0; 0 where it is missing or of another type.
+/// Returns a member of \a object that is a non-negative integer; 0 if it is missing or of another type.
 std::uint64_t jsonNumber(const Json::Value &object, const char *name);
-/// A member that must be a bool; false where it is missing or of another type.
+/// Returns a member of \a object that is a bool; false if it is missing or of another type.
 bool jsonFlag(const Json::Value &object, const char *name);
-/// A member that must be an array; an empty one where it is missing or of another type.
+/// Returns a member of \a object that is an array; an empty array if it is missing or of another type.
 const Json::Value &jsonArray(const Json::Value &object, const char *name);
 
 } // namespace vetchpost
--- a/Libraries/Base/log.cpp
+++ b/Libraries/Base/log.cpp
@@ -48,7 +48,7 @@
     const auto seconds = static_cast<std::time_t>(now / millisecondsPerSecond);
     const auto line
         = fmt::format("{:%FT%T}.{:03}Z {:<7} {}: {}\n", fmt::gmtime(seconds), now % millisecondsPerSecond, levelName(level), part, message);
-    // One write a line, so that the lines of several threads do not mix.
+    // Each line is written with a single call, so that lines of different threads do not interleave.
     std::fwrite(line.data(), 1, line.size(), stderr);
 }
 
--- a/Libraries/Base/log.h
+++ b/Libraries/Base/log.h
@@ -9,14 +9,15 @@
 
 enum class log_level { debug, info, warning, error };
 
-/// Sets the lowest level that is written. The default is info.
+/// Sets the lowest level that is logged. The default is info.
 void setLogLevel(log_level level);
-/// Writes one line to standard error: time, level, the part's fixed prefix, the message.
+/// Writes one line to standard error: the time, the level, the name of the part and the message.
 void writeLogLine(log_level level, std::string_view part, std::string_view message);
-/// Whether a line of this level is written.
+/// Returns whether lines of this level are logged.
 bool isLogged(log_level level);
 
-/// The log of one part. The message is a short sentence; values follow it as key=value. Secrets are never logged.
+/// The text log of one part of the program. A message is a short sentence, followed by values in the form key=value. Secrets must never be
+/// logged.
 class part_log
 {
 public:
--- a/Libraries/Base/metrics.h
+++ b/Libraries/Base/metrics.h
@@ -9,7 +9,7 @@
 
 namespace vetchpost {
 
-/// A value that only rises. Safe to use from several threads.
+/// A metric that only increases. It may be used from several threads.
 class counter
 {
 public:
@@ -26,7 +26,7 @@
     private_data *d;
 };
 
-/// A value that rises and falls.
+/// A metric that increases and decreases.
 class gauge
 {
 public:
@@ -43,7 +43,7 @@
     private_data *d;
 };
 
-/// A distribution over fixed buckets.
+/// A metric that counts observed values in fixed buckets.
 class histogram
 {
 public:
@@ -65,7 +65,8 @@
     std::string value;
 };
 
-/// The metrics of one process, in Prometheus form. The handles it gives live as long as it does.
+/// The registry of the metrics of one process, which exports them to Prometheus. The handles that it returns are valid for as long as it
+/// exists.
 class metrics
 {
 public:
@@ -76,11 +77,11 @@
 
     counter addCounter(const std::string &name, const std::string &help, const std::vector<metric_label> &labels = {});
     gauge addGauge(const std::string &name, const std::string &help, const std::vector<metric_label> &labels = {});
-    /// Buckets for times in seconds from a millisecond to five minutes.
+    /// Adds a histogram of times in seconds, with buckets from one millisecond to five minutes.
     histogram addTimeHistogram(const std::string &name, const std::string &help, const std::vector<metric_label> &labels = {});
-    /// Counts one answer of this error kind.
+    /// Counts a request that ended with an error of kind \a kind.
     void countRefusal(error_kind kind);
-    /// The text form of all metrics.
+    /// Returns all metrics in the Prometheus text format.
     std::string text() const;
 
 private:
--- a/Libraries/Base/rcu_snapshot.cpp
+++ b/Libraries/Base/rcu_snapshot.cpp
@@ -4,7 +4,7 @@
 #ifdef VETCHPOST_PLAIN_SNAPSHOT
 #include <shared_mutex>
 #else
-// The membarrier flavour costs readers no fence; its threads must register themselves.
+// With the membarrier flavour readers need no memory fence, but every reading thread must register itself.
 #define RCU_MEMB
 #include <urcu.h>
 #endif
@@ -15,7 +15,7 @@
 
 namespace {
 
-// The thread sanitizer cannot follow liburcu, so this build counts readers in two generations instead.
+// ThreadSanitizer does not understand liburcu, so this build counts the readers in two generations instead.
 std::atomic<unsigned> readers[2];
 std::atomic<unsigned> currentGeneration = 0;
 std::mutex waiters;
@@ -48,7 +48,7 @@
 void waitForRcuReaders()
 {
     const std::lock_guard lock(waiters);
-    // A reader may have read the generation before a flip and counted itself after it: two flips cover both.
+    // A reader may read the generation before a flip and increment its counter after it, so that two flips are needed.
     for (int flip = 0; flip < 2; ++flip) {
         const auto previous = currentGeneration.fetch_add(1) & 1U;
         while (readers[previous].load() != 0) { }
--- a/Libraries/Base/rcu_snapshot.h
+++ b/Libraries/Base/rcu_snapshot.h
@@ -7,7 +7,7 @@
 
 namespace vetchpost {
 
-/// Marks the calling thread as a reader for as long as it lives. Nested guards are allowed.
+/// Marks the calling thread as an RCU reader while the guard exists. Guards may be nested.
 class rcu_read_guard
 {
 public:
@@ -17,10 +17,10 @@
     rcu_read_guard &operator=(const rcu_read_guard &) = delete;
 };
 
-/// Waits until every reader that may still see what was replaced has left. Not to be called from under a guard.
+/// Waits until every reader that may still see a replaced value has finished. Must not be called while the calling thread holds a guard.
 void waitForRcuReaders();
 
-/// A value that many threads read without waiting and few replace as a whole.
+/// A value that many threads read without waiting, and that is rarely replaced, always as a whole.
 template <class Value>
 class rcu_snapshot
 {
@@ -38,7 +38,7 @@
     rcu_snapshot(const rcu_snapshot &) = delete;
     rcu_snapshot &operator=(const rcu_snapshot &) = delete;
 
-    /// Calls \a query with the present value. The value stays as it is until the query returns.
+    /// Calls \a query with the current value, which stays unchanged until the query returns. Returns the result of the query.
     template <class Query>
     auto read(Query &&query) const
     {
@@ -46,7 +46,7 @@
         return query(static_cast<const Value &>(*m_current.load(std::memory_order_acquire)));
     }
 
-    /// Replaces the value and frees the old one once no reader can see it.
+    /// Replaces the value, waits until no reader can see the old one, and frees it.
     void replace(Value value)
     {
         auto next = std::make_unique<Value>(std::move(value));
--- a/Libraries/Base/timer_service.cpp
+++ b/Libraries/Base/timer_service.cpp
@@ -36,7 +36,7 @@
 
     instant nextDue(instant now)
     {
-        auto next = now + longestWait;
+        auto next = now + maxSteadyWait;
         for (const auto &entry : subscriptions) {
             next = std::min(next, entry->due.value_or(now));
         }
--- a/Libraries/Base/timer_service.h
+++ b/Libraries/Base/timer_service.h
@@ -9,8 +9,8 @@
 
 namespace vetchpost {
 
-/// Calls its subscribers at their periods, one after another on one thread. A subscriber must not block for long;
-/// a period that was missed is not made up for.
+/// Calls its subscribers periodically, one after another on one thread. A subscriber must not block for long. Missed periods are not made
+/// up for.
 class timer_service
 {
 public:
@@ -19,13 +19,13 @@
     timer_service(const timer_service &) = delete;
     timer_service &operator=(const timer_service &) = delete;
 
-    /// Subscribes \a callback; the first call comes after one period.
+    /// Calls \a callback once per \a period, for the first time after one period.
     void subscribe(std::string name, duration period, std::function<void(instant)> callback);
     /// Starts the thread.
     void start();
-    /// Returns when the thread has ended; no callback runs afterwards.
+    /// Stops the thread and waits for its end; no callback runs afterwards.
     void stop();
-    /// Calls all that are due at \a now on the calling thread: for tests in virtual time.
+    /// Calls all subscribers that are due at \a now on the calling thread. Tests in virtual time call it directly.
     void runDue(instant now);
 
 private:
--- a/Libraries/Base/version.h
+++ b/Libraries/Base/version.h
@@ -5,7 +5,7 @@
 
 namespace vetchpost {
 
-/// The version of all programs, as CMakeLists.txt has it.
+/// The version of all programs; must match the version in CMakeLists.txt.
 constexpr std::string_view programVersion = "0.1.0";
 
 } // namespace vetchpost
--- a/Libraries/Base/worker_pool.cpp
+++ b/Libraries/Base/worker_pool.cpp
@@ -25,7 +25,7 @@
     std::vector<std::thread> threads;
     bool isStopping = false;
 
-    bool takeJob(std::function<void()> &job)
+    bool popJob(std::function<void()> &job)
     {
         std::unique_lock lock(mutex);
         wake.wait(lock, [this] { return isStopping || !jobs.empty(); });
@@ -37,10 +37,10 @@
         return true;
     }
 
-    void work()
+    void runJobs()
     {
         std::function<void()> job;
-        while (takeJob(job)) {
+        while (popJob(job)) {
             try {
                 job();
             } catch (const std::exception &error) {
@@ -54,7 +54,7 @@
     : d(std::make_unique<private_data>())
 {
     for (int i = 0; i < threads; ++i) {
-        d->threads.emplace_back([this] { d->work(); });
+        d->threads.emplace_back([this] { d->runJobs(); });
     }
 }
 
--- a/Libraries/Base/worker_pool.h
+++ b/Libraries/Base/worker_pool.h
@@ -6,7 +6,7 @@
 
 namespace vetchpost {
 
-/// A fixed number of threads that run jobs in their order.
+/// A fixed number of threads that start jobs in the order in which they were added.
 class worker_pool
 {
 public:
@@ -15,8 +15,9 @@
     worker_pool(const worker_pool &) = delete;
     worker_pool &operator=(const worker_pool &) = delete;
 
+    /// Adds a job to the queue.
     void run(std::function<void()> job);
-    /// Drops the jobs that have not begun and waits for those that have; later jobs are dropped too.
+    /// Drops the jobs that have not started and waits for the running ones. Jobs that are added later never run.
     void stop();
 
 private:
--- a/Libraries/Configuration/configuration.cpp
+++ b/Libraries/Configuration/configuration.cpp
@@ -16,14 +16,14 @@
 
 constexpr std::size_t digestLength = 64;
 constexpr int highestPriority = 9;
-constexpr int mostReplicas = 4000;
-constexpr int mostInstancesPerReplica = 64;
+constexpr int maxReplicas = 4000;
+constexpr int maxInstancesPerReplica = 64;
 
 bool isName(const std::string &text)
 {
-    constexpr std::size_t longest = 63;
+    constexpr std::size_t maxLength = 63;
     const auto isAllowed = [](char c) { return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-' || c == '.'; };
-    return !text.empty() && text.size() <= longest && std::all_of(text.begin(), text.end(), isAllowed);
+    return !text.empty() && text.size() <= maxLength && std::all_of(text.begin(), text.end(), isAllowed);
 }
 
 bool isDigest(const std::string &text)
@@ -52,13 +52,13 @@
     result.model = reader.requiredString("model");
     result.adapter = reader.string("adapter", "");
     result.version = reader.requiredString("version");
-    result.replicas = static_cast<int>(reader.requiredInteger("replicas", 0, mostReplicas));
-    result.instancesPerReplica = static_cast<int>(reader.requiredInteger("instances-per-replica", 1, mostInstancesPerReplica));
+    result.replicas = static_cast<int>(reader.requiredInteger("replicas", 0, maxReplicas));
+    result.instancesPerReplica = static_cast<int>(reader.requiredInteger("instances-per-replica", 1, maxInstancesPerReplica));
     result.enginesCheckFencing = reader.flag("engines-check-fencing", false);
     result.maySpanDomains = reader.flag("may-span-domains", false);
     result.downtimeWeight = reader.number("downtime-weight", 0, 1000, 1);
     result.strandedWeight = reader.number("stranded-weight", 0, 1000, 1);
-    result.keptPercent = static_cast<int>(reader.integer("kept-percent", 0, 100, 75));
+    result.minServingPercent = static_cast<int>(reader.integer("kept-percent", 0, 100, 75));
     result.loadTime = std::chrono::seconds(reader.integer("load-seconds", 0, 7200, 120));
     result.restartTime = std::chrono::seconds(reader.integer("restart-seconds", 1, 7200, 240));
 }
@@ -75,8 +75,8 @@
     }
 }
 
-/// Reads a deployment's own keys, after its template's parameters were filled in.
-void readFilled(yaml_reader reader, deployment &result)
+/// Reads the keys of a deployment from its expanded template.
+void readExpandedTemplate(yaml_reader reader, deployment &result)
 {
     const auto kind = reader.choice("kind", {"model", "service"}, "model");
     result.kind = kind == "model" ? deployment_kind::model : deployment_kind::service;
@@ -164,7 +164,7 @@
             return;
         }
         const auto path = "deployments." + name + " (template " + templateName + ")";
-        readFilled(yaml_reader(fillTemplate(used->second, parameters), m_file, path, m_problems), result);
+        readExpandedTemplate(yaml_reader(expandTemplate(used->second, parameters), m_file, path, m_problems), result);
         m_result.deployments.push_back(std::move(result));
     }
 
--- a/Libraries/Configuration/configuration.h
+++ b/Libraries/Configuration/configuration.h
@@ -11,23 +11,23 @@
 
 namespace vetchpost {
 
-/// An organisation whose callers are served.
+/// An organisation whose requests are served.
 struct organisation
 {
     organisation_id id;
-    /// The SHA-256 digests of its bearer keys, in hexadecimal; the keys themselves stand nowhere.
+    /// The SHA-256 digests of its bearer keys, in hexadecimal. The keys themselves are not stored.
     std::vector<std::string> keyDigests;
-    /// Higher goes first when capacity is short.
+    /// Requests with a higher priority go first when capacity is short.
     int priority = 0;
-    /// Its share beside other organisations of the same priority.
+    /// The weight of its share of the capacity among the organisations of the same priority.
     double weight = 1;
-    /// The most tokens a second over all daemons; 0 for no limit.
+    /// The limit of tokens per second over all daemons; 0 for no limit.
     double tokensPerSecond = 0;
 };
 
 enum class deployment_kind { model, service };
 
-/// One deployment with its template's parameters filled in.
+/// One deployment, as its template yields it with the deployment's parameters.
 struct deployment
 {
     deployment_id id;
@@ -35,7 +35,7 @@
     std::vector<organisation_id> organisations;
     int priority = 0;
 
-    // Of models only.
+    // For models only.
     std::string model;
     std::string adapter;
     std::string version;
@@ -43,42 +43,46 @@
     int instancesPerReplica = 1;
     bool enginesCheckFencing = false;
     bool maySpanDomains = false;
-    /// What an hour of a missing replica costs, beside what a stranded accelerator's hour costs.
+    /// The cost of one hour of a missing replica, relative to strandedWeight, the cost of one hour of a stranded accelerator.
     double downtimeWeight = 1;
     double strandedWeight = 1;
-    /// How many of its replicas must go on serving while others are changed on purpose, in per cent.
-    int keptPercent = 0;
-    /// How long one instance takes to load its share of the weights at the store's full rate.
+    /// The percentage of its replicas that must keep serving during planned changes.
+    int minServingPercent = 0;
+    /// The time that one instance takes to load its share of the weights at the full rate of the weight store.
     duration loadTime{};
-    /// How long an instance usually takes to come back from a restart.
+    /// The usual time that an instance takes to restart.
     duration restartTime{};
 
-    // Of plain services only.
+    // For plain services only.
     std::string service;
-    /// The methods whose calls may be repeated.
+    /// The HTTP methods whose requests may be retried.
     std::vector<std::string> repeatableMethods;
 };
 
-/// What the operators want, checked as a whole.
+/// The operators' configuration, which has passed all checks.
 struct configuration
 {
     std::vector<organisation> organisations;
     std::vector<deployment> deployments;
 
+    /// Returns the organisation with this id; null if there is none.
     const organisation *findOrganisation(const organisation_id &id) const;
+    /// Returns the deployment with this id; null if there is none.
     const deployment *findDeployment(const deployment_id &id) const;
-    /// The organisation that a bearer key's digest belongs to.
+    /// Returns the organisation with a bearer key of this digest; null if there is none.
     const organisation *organisationOfKey(const std::string &keyDigest) const;
 };
 
+/// Returns whether an organisation may use a deployment.
 bool mayUse(const deployment &deployment, const organisation_id &organisation);
+/// Returns whether requests to a deployment with this HTTP method may be retried.
 bool isRepeatable(const deployment &deployment, const std::string &method);
 
-/// Reads and checks a configuration: the one function that the command line and the daemons share. Nothing where there is
-/// any problem. \a file only names the text in the problems.
+/// Parses and checks a configuration, for the command line as well as the daemons. Appends what is wrong to \a problems, and returns
+/// nothing if there is any problem. \a file is only the name of the text in the problems.
 std::optional<configuration> readConfiguration(const std::string &text, const std::string &file, std::vector<yaml_problem> &problems);
 
-/// The SHA-256 digest of a bearer key in hexadecimal.
+/// Returns the SHA-256 digest of a bearer key in hexadecimal.
 std::string keyDigest(const std::string &key);
 
 } // namespace vetchpost
--- a/Libraries/Configuration/configuration_head.cpp
+++ b/Libraries/Configuration/configuration_head.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// An edit whose reply was lost is looked for among so many newer ones. 2,700 edits a day are two a minute, so that this
-/// covers more than two hours of retrying.
+/// The number of edits in the history. An edit whose reply was lost is found there when it is retried. At 2,700 edits a day, two a minute,
+/// the history covers more than two hours of retries.
 constexpr std::size_t historyLength = 256;
 
 } // namespace
@@ -53,13 +53,13 @@
     return head;
 }
 
-edit_standing standingOf(const proposed_edit &edit, const configuration_head &head)
+edit_status editStatusOf(const proposed_edit &edit, const configuration_head &head)
 {
     const auto isThisEdit = [&](const accepted_edit &entry) { return entry.edit == edit.edit; };
     if (std::any_of(head.history.begin(), head.history.end(), isThisEdit)) {
-        return edit_standing::accepted;
+        return edit_status::accepted;
     }
-    return head.current == edit.base ? edit_standing::writable : edit_standing::conflicting;
+    return head.current == edit.base ? edit_status::writable : edit_status::conflicting;
 }
 
 configuration_head headAfter(const configuration_head &head, const proposed_edit &edit)
--- a/Libraries/Configuration/configuration_head.h
+++ b/Libraries/Configuration/configuration_head.h
@@ -11,20 +11,20 @@
 
 namespace vetchpost {
 
-/// The key of the head in the key-value service.
+/// The key of the configuration head in the key-value service.
 constexpr auto configurationHeadKey = "vetchpost/configuration/head";
 
-/// One accepted edit, as the history tells it.
+/// One accepted edit in the history of the configuration.
 struct accepted_edit
 {
     edit_id edit;
     revision accepted;
     std::string author;
-    /// Calendar time in milliseconds, by the clock of the daemon that accepted it.
+    /// The time of the edit in milliseconds since the Unix epoch, by the clock of the daemon that accepted it.
     std::int64_t atMilliseconds = 0;
 };
 
-/// The value of the head: the configuration in force and the edits that led to it, newest first.
+/// The value under configurationHeadKey: the configuration in force and the latest edits that led to it, newest first.
 struct configuration_head
 {
     revision current;
@@ -32,35 +32,37 @@
     std::vector<accepted_edit> history;
 };
 
-/// An edit that an operator sends.
+/// An edit that an operator has submitted.
 struct proposed_edit
 {
     edit_id edit;
-    /// The revision that the operator saw.
+    /// The revision that the edit is based on.
     revision base;
     std::string author;
     std::string text;
     std::int64_t atMilliseconds = 0;
 };
 
+/// Encodes a head as JSON, for the key-value service.
 std::string toText(const configuration_head &head);
+/// Decodes a head. Returns the initial, empty head for an empty text, and nothing if the text is not a JSON object.
 std::optional<configuration_head> configurationHeadFrom(const std::string &text);
 
-/// What is known of an edit by the head alone.
-enum class edit_standing {
-    /// The head contains it: it was accepted.
+/// The status of an edit according to a head.
+enum class edit_status {
+    /// The edit has been accepted: the history of the head contains it.
     accepted,
-    /// The head is the one that the edit was made for: it can be written.
+    /// The edit is based on the current revision, so that it can be written.
     writable,
-    /// Another edit was accepted since; this one never was.
+    /// Another edit has been accepted since the base of this one, which has not been accepted.
     conflicting
 };
 
-/// Where \a edit stands beside \a head. An edit that was written although its reply was lost is found by its id.
-edit_standing standingOf(const proposed_edit &edit, const configuration_head &head);
-/// The head after the edit is accepted.
+/// Returns the status of \a edit according to \a head. The id of the edit identifies one that was written although the reply was lost.
+edit_status editStatusOf(const proposed_edit &edit, const configuration_head &head);
+/// Returns the head that follows \a head when \a edit is accepted.
 configuration_head headAfter(const configuration_head &head, const proposed_edit &edit);
-/// The accepted edits that \a edit did not know of, newest first.
+/// Returns the edits in the history of \a head that were accepted after revision \a base, newest first.
 std::vector<accepted_edit> editsSince(const configuration_head &head, revision base);
 
 } // namespace vetchpost
--- a/Libraries/Configuration/template_parameters.cpp
+++ b/Libraries/Configuration/template_parameters.cpp
@@ -44,7 +44,7 @@
     return parameter;
 }
 
-/// Checks a given value through the reader, which reports what is wrong with it.
+/// Checks the value of a parameter by type, bounds and choices; \a given reports what is wrong with it.
 void checkValue(const template_parameter &parameter, yaml_reader &given)
 {
     switch (parameter.type) {
@@ -67,11 +67,11 @@
     }
 }
 
-/// The name in "${name}"; nothing for any other text.
+/// Returns the name in "${name}"; nothing for any other text.
 std::optional<std::string> parameterNameIn(const std::string &text)
 {
-    constexpr std::size_t shortest = 4;
-    if (text.size() >= shortest && text.starts_with("${") && text.ends_with("}")) {
+    constexpr std::size_t minLength = 4;
+    if (text.size() >= minLength && text.starts_with("${") && text.ends_with("}")) {
         return text.substr(2, text.size() - 3);
     }
     return std::nullopt;
@@ -95,10 +95,10 @@
     return result;
 }
 
-YAML::Node fillTemplate(const deployment_template &filled, yaml_reader parameters)
+YAML::Node expandTemplate(const deployment_template &source, yaml_reader parameters)
 {
     std::map<std::string, std::string> values;
-    for (const auto &parameter : filled.parameters) {
+    for (const auto &parameter : source.parameters) {
         if (parameters.has(parameter.name)) {
             checkValue(parameter, parameters);
             values[parameter.name] = parameters.string(parameter.name, "");
@@ -112,14 +112,14 @@
     parameters.refuseUnknownKeys();
 
     YAML::Node result(YAML::NodeType::Map);
-    for (const auto &entry : filled.values) {
+    for (const auto &entry : source.values) {
         const auto name = entry.second.IsScalar() ? parameterNameIn(entry.second.Scalar()) : std::nullopt;
         if (!name) {
             result[entry.first.Scalar()] = YAML::Clone(entry.second);
         } else if (const auto value = values.find(*name); value != values.end()) {
             result[entry.first.Scalar()] = value->second;
         }
-        // A parameter that is neither given nor defaulted leaves its key out, so that the deployment's own default holds.
+        // Without a value and a default for the parameter, the key is left out, so that the default of the deployment's key applies.
     }
     return result;
 }
--- a/Libraries/Configuration/template_parameters.h
+++ b/Libraries/Configuration/template_parameters.h
@@ -20,21 +20,22 @@
     std::optional<std::string> defaultValue;
     double minimum = 0;
     double maximum = 0;
-    /// The words that a text may be; any where empty.
+    /// The allowed values of a text; empty if all are allowed.
     std::vector<std::string> choices;
 };
 
-/// A template: its parameters, and the values of a deployment in which "${name}" stands for a parameter.
+/// A template of deployments: its parameters, and the keys and values of a deployment, in which the value "${name}" stands for a parameter.
 struct deployment_template
 {
     std::vector<template_parameter> parameters;
     YAML::Node values;
 };
 
+/// Reads a template. Reports what is wrong through \a reader.
 deployment_template readTemplate(yaml_reader reader);
 
-/// The template's values with the parameters of one deployment filled in. Problems of the parameters are reported at
+/// Returns the values of a template with the parameters of one deployment filled in. Reports what is wrong with the parameters through
 /// \a parameters.
-YAML::Node fillTemplate(const deployment_template &filled, yaml_reader parameters);
+YAML::Node expandTemplate(const deployment_template &source, yaml_reader parameters);
 
 } // namespace vetchpost
--- a/Libraries/Daemon/admission.cpp
+++ b/Libraries/Daemon/admission.cpp
@@ -202,7 +202,7 @@
     waiting_thread thread{request, {}, {}, false};
     queue.threads.emplace(entry.ticket, &thread);
     for (auto now = monotonicNow(); now < request.deadline; now = monotonicNow()) {
-        const auto time = std::min(longestWait, request.deadline - now);
+        const auto time = std::min(maxSteadyWait, request.deadline - now);
         if (thread.wake.wait_for(lock, time, [&] { return thread.route || thread.isExpired; })) {
             break;
         }
--- a/Libraries/Daemon/cluster_queries.cpp
+++ b/Libraries/Daemon/cluster_queries.cpp
@@ -53,7 +53,7 @@
             known.insert(member.about.peers);
         }
     }
-    auto contacts = d->settings.firstPeers;
+    auto contacts = d->settings.seedPeers;
     for (const auto &member : d->neighbours) {
         contacts.push_back(member.about.peers);
     }
--- a/Libraries/Daemon/configuration_service.cpp
+++ b/Libraries/Daemon/configuration_service.cpp
@@ -180,14 +180,14 @@
             continue;
         }
         d->take(*entry);
-        switch (standingOf(edit, *head)) {
-        case edit_standing::accepted:
+        switch (editStatusOf(edit, *head)) {
+        case edit_status::accepted:
             return d->acceptedAs(*head, edit.edit);
-        case edit_standing::conflicting:
+        case edit_status::conflicting:
             result.others = editsSince(*head, edit.base);
             result.why = {error_kind::edit_conflict, "another edit was accepted since the revision that this one was made for"};
             return result;
-        case edit_standing::writable:
+        case edit_status::writable:
             break;
         }
         // 2. Writing again is harmless: of two writes of this edit at the same revision only one can take effect.
--- a/Libraries/Entry/crash_guard.cpp
+++ b/Libraries/Entry/crash_guard.cpp
@@ -38,7 +38,7 @@
     {
         const auto &replica = loss.target.replica;
         if (!hasAnnouncedLeaving(replica)) {
-            suspects.recordReplicaEnd(loss.request, loss.organisation, replicaEndOf(replica.value(), loss.target.life.value()));
+            suspects.recordReplicaEnd(loss.request, loss.organisation, replicaEndOf(replica.value(), loss.target.incarnation.value()));
             feed.syncTables();
         }
     }
--- a/Libraries/Entry/entry_daemon.cpp
+++ b/Libraries/Entry/entry_daemon.cpp
@@ -104,7 +104,7 @@
         , store(
               *keyValue,
               *dialect,
-              feedTiming(oldestConfiguration(settings)),
+              feedTiming(configurationAgeLimit(settings)),
               counters,
               [this] { rebuildView(); },
               [this](const std::vector<replica_key> &replicas) {
@@ -154,7 +154,7 @@
         notice.isExhaustive = false;
         const auto directory = store.directory();
         const auto known = directory->replicas.find(replica);
-        if (known != directory->replicas.end() && constraints.applyNotice({replica, known->second.life}, notice)) {
+        if (known != directory->replicas.end() && constraints.applyNotice({replica, known->second.incarnation}, notice)) {
             feed.syncTables();
         }
     }
--- a/Libraries/Entry/entry_view.cpp
+++ b/Libraries/Entry/entry_view.cpp
@@ -134,13 +134,13 @@
 backend entry_view_builder::makeBackend(const served_replica &replica, const group_id &group, formation formed)
 {
     // A newly formed group and a restarted replica begin with a new load.
-    const auto key = replica.id.value() + "/" + std::to_string(replica.life.value()) + "/" + std::to_string(formed.value());
+    const auto key = replica.id.value() + "/" + std::to_string(replica.incarnation.value()) + "/" + std::to_string(formed.value());
     auto load = m_loads[key].lock();
     if (!load) {
         load = std::make_shared<backend_load>();
         m_loads[key] = load;
     }
-    return {replica.id, replica.address, replica.dataCentre, group, std::max(1, replica.slots), std::move(load), replica.life};
+    return {replica.id, replica.address, replica.dataCentre, group, std::max(1, replica.slots), std::move(load), replica.incarnation};
 }
 
 std::shared_ptr<const entry_view> entry_view_builder::build(std::shared_ptr<const route_table> routes,
--- a/Libraries/Entry/entry_view.h
+++ b/Libraries/Entry/entry_view.h
@@ -65,7 +65,7 @@
     /// Requests that the backend runs at once.
     int slots = 1;
     std::shared_ptr<backend_load> load;
-    replica_life life = {};
+    replica_incarnation incarnation = {};
 };
 
 /// An immutable snapshot of everything that requests are routed by.
--- a/Libraries/Entry/peer_feed.cpp
+++ b/Libraries/Entry/peer_feed.cpp
@@ -60,7 +60,7 @@
                  std::function<void(const stall_report &)> handleStallReport,
                  std::function<void(const group_stall_warning &)> stallWarningListener)
         : settings(entrySettings)
-        , timing(feedTiming(oldestConfiguration(entrySettings)))
+        , timing(feedTiming(configurationAgeLimit(entrySettings)))
         , store(storeFollower)
         , suspects(sharedSuspects)
         , constraints(sharedConstraints)
--- a/Libraries/Entry/relay_context.cpp
+++ b/Libraries/Entry/relay_context.cpp
@@ -103,7 +103,7 @@
 
 void relay_context::applyNotice(const backend &target, const replica_notice &notice, const request_id &request)
 {
-    if (constraints.applyNotice({target.replica, target.life}, notice, request)) {
+    if (constraints.applyNotice({target.replica, target.incarnation}, notice, request)) {
         m_feed.syncTables();
     }
 }
@@ -164,7 +164,7 @@
 {
     const auto lists = requestIds.drain();
     if (!lists.isEmpty()) {
-        requestLog.writeKept("roll", {{"arrived", lists.arrived}, {"served", lists.served}, {"left_out", lists.leftOut}});
+        requestLog.writeEssential("roll", {{"arrived", lists.arrived}, {"served", lists.served}, {"left_out", lists.leftOut}});
     }
 }
 
--- a/Libraries/Entry/replica_entries.cpp
+++ b/Libraries/Entry/replica_entries.cpp
@@ -27,7 +27,7 @@
         return;
     }
     const auto known = directory.replicas.find(replica.id);
-    const bool isFirstSeen = known == directory.replicas.end() || isAnotherIncarnation(known->second.life, replica.life);
+    const bool isFirstSeen = known == directory.replicas.end() || isAnotherIncarnation(known->second.incarnation, replica.incarnation);
     if (isFirstSeen) {
         directory.leavingSince.erase(replica.id);
     }
@@ -39,7 +39,7 @@
 /// domains whose members could serve at once.
 served_replica withModelKept(served_replica replica, const served_replica &before)
 {
-    if (!replica.model && !isAnotherIncarnation(replica.life, before.life)) {
+    if (!replica.model && !isAnotherIncarnation(replica.incarnation, before.incarnation)) {
         replica.model = before.model;
     }
     return replica;
@@ -150,7 +150,8 @@
 {
     return std::all_of(leaving.begin(), leaving.end(), [&](const auto &entry) {
         const auto found = directory.replicas.find(entry.first.replica);
-        const bool isSameIncarnation = found != directory.replicas.end() && !isAnotherIncarnation(found->second.life, entry.first.life);
+        const bool isSameIncarnation
+            = found != directory.replicas.end() && !isAnotherIncarnation(found->second.incarnation, entry.first.incarnation);
         return !isSameIncarnation || reportsDraining(found->second) || found->second.hadReportedDraining;
     });
 }
@@ -159,7 +160,7 @@
 {
     for (const auto &[key, since] : leaving) {
         const auto found = directory.replicas.find(key.replica);
-        if (found == directory.replicas.end() || isAnotherIncarnation(found->second.life, key.life)) {
+        if (found == directory.replicas.end() || isAnotherIncarnation(found->second.incarnation, key.incarnation)) {
             continue;
         }
         auto &replica = found->second;
--- a/Libraries/Entry/replica_liveness_check.cpp
+++ b/Libraries/Entry/replica_liveness_check.cpp
@@ -52,8 +52,8 @@
     order.to = target.replica;
     const auto answer = m_dialect.readOrderAnswer(order, *reply);
     const bool isReplaced = answer.result == order_result::gone;
-    const bool hasIncarnation = answer.result == order_result::accepted && answer.life != replica_life();
-    const bool isRestarted = hasIncarnation && isAnotherIncarnation(answer.life, target.life);
+    const bool hasIncarnation = answer.result == order_result::accepted && answer.incarnation != replica_incarnation();
+    const bool isRestarted = hasIncarnation && isAnotherIncarnation(answer.incarnation, target.incarnation);
     return isReplaced || isRestarted ? replica_liveness::terminated : replica_liveness::alive;
 }
 
@@ -66,7 +66,7 @@
         std::erase_if(m_probes, [&](const auto &entry) {
             return entry.second.use_count() == 1 && entry.second->probedAt && now - *entry.second->probedAt >= resultLifetime;
         });
-        auto &known = m_probes[{target.replica, target.life}];
+        auto &known = m_probes[{target.replica, target.incarnation}];
         if (!known) {
             known = std::make_shared<shared_probe>();
         }
--- a/Libraries/Entry/replica_liveness_check.h
+++ b/Libraries/Entry/replica_liveness_check.h
@@ -46,7 +46,7 @@
     const entry_dialect &m_dialect;
     std::mutex m_mutex;
     /// By replica and incarnation.
-    std::map<std::pair<instance_id, replica_life>, std::shared_ptr<shared_probe>> m_probes;
+    std::map<std::pair<instance_id, replica_incarnation>, std::shared_ptr<shared_probe>> m_probes;
 };
 
 } // namespace vetchpost
--- a/Libraries/Entry/replica_prober.cpp
+++ b/Libraries/Entry/replica_prober.cpp
@@ -162,7 +162,7 @@
         bool isNew = false;
         {
             const std::lock_guard lock(mutex);
-            isNew = recordProbe(silent, replica.id, {began, hasAnswered, replica.life});
+            isNew = recordProbe(silent, replica.id, {began, hasAnswered, replica.incarnation});
         }
         if (!hasAnswered) {
             didChange();
--- a/Libraries/Entry/replica_reading.cpp
+++ b/Libraries/Entry/replica_reading.cpp
@@ -156,7 +156,7 @@
     std::vector<replica_key> leaving;
     for (const auto &change : changes) {
         if (change.replica && change.replica->isDraining) {
-            leaving.push_back({change.id, change.replica->life});
+            leaving.push_back({change.id, change.replica->incarnation});
         }
     }
     if (!leaving.empty()) {
--- a/Libraries/Entry/request_finish.cpp
+++ b/Libraries/Entry/request_finish.cpp
@@ -32,31 +32,31 @@
     }
     if (m_hasBegun) {
         recordResult(request_outcome::broken_off);
-        requestLog.writeKept("broken_off",
-                             {{"request", m_head.requestId.value()},
-                              {"route", m_route->name},
-                              {"end", attemptOutcomeName(outcome)},
-                              {"why", m_lastReason},
-                              {"no_repeat", m_noRetryReason},
-                              {"tries", m_attempts},
-                              {"replica", m_triedReplicas.empty() ? "" : m_triedReplicas.back().value()},
-                              {"held_ms", elapsed().count()},
-                              {"first_ms", timeToFirstEvent().value_or(duration(-1)).count()},
-                              {"pause_ms", m_longestPause.count()},
-                              {"last_event", m_events.lastId()}});
+        requestLog.writeEssential("broken_off",
+                                  {{"request", m_head.requestId.value()},
+                                   {"route", m_route->name},
+                                   {"end", attemptOutcomeName(outcome)},
+                                   {"why", m_lastReason},
+                                   {"no_repeat", m_noRetryReason},
+                                   {"tries", m_attempts},
+                                   {"replica", m_triedReplicas.empty() ? "" : m_triedReplicas.back().value()},
+                                   {"held_ms", elapsed().count()},
+                                   {"first_ms", timeToFirstEvent().value_or(duration(-1)).count()},
+                                   {"pause_ms", m_longestPause.count()},
+                                   {"last_event", m_events.lastId()}});
         m_exchange.abort();
         return;
     }
     if (m_failure) {
         sendBuffered(*m_failure);
         recordResult(request_outcome::failed);
-        requestLog.writeKept("failure_passed_on",
-                             {{"request", m_head.requestId.value()},
-                              {"route", m_route->name},
-                              {"status", m_failure->head.status},
-                              {"no_repeat", m_noRetryReason},
-                              {"tries", m_attempts},
-                              {"held_ms", elapsed().count()}});
+        requestLog.writeEssential("failure_passed_on",
+                                  {{"request", m_head.requestId.value()},
+                                   {"route", m_route->name},
+                                   {"status", m_failure->head.status},
+                                   {"no_repeat", m_noRetryReason},
+                                   {"tries", m_attempts},
+                                   {"held_ms", elapsed().count()}});
         return;
     }
     if (m_mayHaveRun && !m_route->mayRunAgain()) {
@@ -104,19 +104,19 @@
     }
     m_context.counters.countRefusal(kind);
     recordResult(request_outcome::refused);
-    requestLog.writeKept("refused",
-                         {{"request", m_head.requestId.value()},
-                          {"identity", m_identity ? m_identity->value() : ""},
-                          {"route", m_route == nullptr ? "" : m_route->name},
-                          {"kind", errorAnswer(kind).name},
-                          {"why", text},
-                          {"last_try", m_lastReason},
-                          {"no_repeat", m_noRetryReason},
-                          {"closed", m_blockedBackends.text()},
-                          {"come_back_ms", retryAfter.value_or(duration(0)).count()},
-                          {"tries", m_attempts},
-                          {"held_ms", elapsed().count()},
-                          {"time_left_ms", timeLeft().count()}});
+    requestLog.writeEssential("refused",
+                              {{"request", m_head.requestId.value()},
+                               {"identity", m_identity ? m_identity->value() : ""},
+                               {"route", m_route == nullptr ? "" : m_route->name},
+                               {"kind", errorAnswer(kind).name},
+                               {"why", text},
+                               {"last_try", m_lastReason},
+                               {"no_repeat", m_noRetryReason},
+                               {"closed", m_blockedBackends.text()},
+                               {"come_back_ms", retryAfter.value_or(duration(0)).count()},
+                               {"tries", m_attempts},
+                               {"held_ms", elapsed().count()},
+                               {"time_left_ms", timeLeft().count()}});
     m_exchange.sendError({kind, text}, m_head.requestId.value(), retryAfter);
 }
 
@@ -132,19 +132,19 @@
     if (recordResult(outcome)) {
         return;
     }
-    requestLog.writeKept(attemptOutcomeName(end),
-                         {{"request", m_head.requestId.value()},
-                          {"route", m_route->name},
-                          {"outcome", requestOutcomeName(outcome)},
-                          {"status", m_status},
-                          {"tries", m_attempts},
-                          {"replica", m_triedReplicas.empty() ? "" : m_triedReplicas.back().value()},
-                          {"others_there", m_concurrentRequests},
-                          {"held_ms", elapsed().count()},
-                          {"time_left_ms", timeLeft().count()},
-                          {"first_ms", first.value_or(duration(-1)).count()},
-                          {"pause_ms", m_longestPause.count()},
-                          {"last_event", m_events.lastId()}});
+    requestLog.writeEssential(attemptOutcomeName(end),
+                              {{"request", m_head.requestId.value()},
+                               {"route", m_route->name},
+                               {"outcome", requestOutcomeName(outcome)},
+                               {"status", m_status},
+                               {"tries", m_attempts},
+                               {"replica", m_triedReplicas.empty() ? "" : m_triedReplicas.back().value()},
+                               {"others_there", m_concurrentRequests},
+                               {"held_ms", elapsed().count()},
+                               {"time_left_ms", timeLeft().count()},
+                               {"first_ms", first.value_or(duration(-1)).count()},
+                               {"pause_ms", m_longestPause.count()},
+                               {"last_event", m_events.lastId()}});
 }
 
 /// Counts the outcome of the request. Returns true if its id is logged in a batch, so that no line of its own is needed.
@@ -171,17 +171,17 @@
     if (outcome == attempt_outcome::answered) {
         return;
     }
-    requestLog.writeKept("try_ended",
-                         {{"request", m_head.requestId.value()},
-                          {"replica", target.replica.value()},
-                          {"group", target.group.value()},
-                          {"end", attemptOutcomeName(outcome)},
-                          {"why", m_lastReason},
-                          {"identity", m_identity ? m_identity->value() : ""},
-                          {"replica_found", m_replicaLiveness ? replicaLivenessName(*m_replicaLiveness) : ""},
-                          {"others_there", m_concurrentRequests},
-                          {"try_ms", (monotonicNow() - m_attemptStart).count()},
-                          {"last_event", m_events.lastId()}});
+    requestLog.writeEssential("try_ended",
+                              {{"request", m_head.requestId.value()},
+                               {"replica", target.replica.value()},
+                               {"group", target.group.value()},
+                               {"end", attemptOutcomeName(outcome)},
+                               {"why", m_lastReason},
+                               {"identity", m_identity ? m_identity->value() : ""},
+                               {"replica_found", m_replicaLiveness ? replicaLivenessName(*m_replicaLiveness) : ""},
+                               {"others_there", m_concurrentRequests},
+                               {"try_ms", (monotonicNow() - m_attemptStart).count()},
+                               {"last_event", m_events.lastId()}});
 }
 
 /// The time from the request's arrival until the first part of its answer was sent; empty if none was.
--- a/Libraries/Entry/shared_constraints.cpp
+++ b/Libraries/Entry/shared_constraints.cpp
@@ -22,7 +22,7 @@
 
 replica_key keyOf(const backend &target)
 {
-    return {target.replica, target.life};
+    return {target.replica, target.incarnation};
 }
 
 bool wasTried(const std::vector<instance_id> &tried, const backend &target)
@@ -104,20 +104,20 @@
         limits.increment(change.hasLimit ? 1 : 0);
         rests.increment(change.hasBackoff ? 1 : 0);
         departures.increment(change.isLeaving ? 1 : 0);
-        constraintLog.writeKept("replica_notice",
-                                {{"replica", replica.replica.value()},
-                                 {"life", replica.life.value()},
-                                 {"limit", constraint.rateLimit.value_or(-1)},
-                                 {"rest_ms", notice.backoff.value_or(duration(0)).count()},
-                                 {"leaving", constraint.isLeaving},
-                                 {"request", request.value()}});
+        constraintLog.writeEssential("replica_notice",
+                                     {{"replica", replica.replica.value()},
+                                      {"life", replica.incarnation.value()},
+                                      {"limit", constraint.rateLimit.value_or(-1)},
+                                      {"rest_ms", notice.backoff.value_or(duration(0)).count()},
+                                      {"leaving", constraint.isLeaving},
+                                      {"request", request.value()}});
     }
 
     static void logReport(const constraint_report &report)
     {
         constraintLog.write("notice_heard",
                             {{"replica", report.replica.replica.value()},
-                             {"life", report.replica.life.value()},
+                             {"life", report.replica.incarnation.value()},
                              {"limit", report.rateLimit.value_or(-1)},
                              {"age_ms", report.rateAge.count()},
                              {"leaving", report.isLeaving}});
@@ -214,7 +214,7 @@
     replica_key replica;
     for (const auto &target : candidates) {
         replica.replica = target.replica;
-        replica.life = target.life;
+        replica.incarnation = target.incarnation;
         const auto closure = wasTried(tried, target) ? replica_block() : blockOf(d->table, d->wallet, replica, now);
         if (closure.cause == block_cause::none) {
             continue;
@@ -271,7 +271,7 @@
     std::unique_lock lock(d->mutex);
     const auto wait = until - monotonicNow();
     if (wait > duration()) {
-        d->answered.wait_for(lock, std::min(wait, longestWait));
+        d->answered.wait_for(lock, std::min(wait, maxSteadyWait));
     }
 }
 
--- a/Libraries/Entry/shared_suspects.cpp
+++ b/Libraries/Entry/shared_suspects.cpp
@@ -73,17 +73,17 @@
             if (!before.contains(request)) {
                 const auto &suspect = table.suspects.at(request);
                 refusals.increment();
-                crashLog.writeKept("request_refused",
-                                   {{"identity", request.value()},
-                                    {"organisation", suspect.organisation.value()},
-                                    {"ends", textOf(suspect.ends)},
-                                    {"why", why}});
+                crashLog.writeEssential("request_refused",
+                                        {{"identity", request.value()},
+                                         {"organisation", suspect.organisation.value()},
+                                         {"ends", textOf(suspect.ends)},
+                                         {"why", why}});
             }
         }
         for (const auto &request : before) {
             if (!table.refused.contains(request)) {
                 cleared.increment();
-                crashLog.writeKept("request_allowed", {{"identity", request.value()}, {"why", why}});
+                crashLog.writeEssential("request_allowed", {{"identity", request.value()}, {"why", why}});
             }
         }
         dropped.increment(static_cast<double>(table.evicted - droppedBefore));
--- a/Libraries/Feed/feed_messages.cpp
+++ b/Libraries/Feed/feed_messages.cpp
@@ -50,7 +50,7 @@
 constexpr auto reportsField = "list";
 constexpr auto wantedField = "wanted";
 constexpr auto reportField = "report";
-constexpr auto lifeField = "life";
+constexpr auto incarnationField = "life";
 constexpr auto grantedField = "granted";
 constexpr auto waitField = "wait";
 
@@ -206,7 +206,7 @@
     json[kindField] = permitResponseKind;
     json[nonceField] = number(message.nonce);
     json[replicaField] = message.replica.replica.value();
-    json[lifeField] = number(message.replica.life.value());
+    json[incarnationField] = number(message.replica.incarnation.value());
     json[grantedField] = message.granted;
     json[waitField] = Json::Int64(message.wait.count());
     return json;
@@ -239,7 +239,7 @@
 permit_response decodePermitResponse(const Json::Value &json)
 {
     return {jsonNumber(json, nonceField),
-            {instance_id(jsonString(json, replicaField)), replica_life(jsonNumber(json, lifeField))},
+            {instance_id(jsonString(json, replicaField)), replica_incarnation(jsonNumber(json, incarnationField))},
             std::min(maxPermitsPerResponse, static_cast<int>(jsonNumber(json, grantedField))),
             duration(static_cast<std::int64_t>(jsonNumber(json, waitField)))};
 }
--- a/Libraries/Feed/replica_codec.cpp
+++ b/Libraries/Feed/replica_codec.cpp
@@ -73,7 +73,7 @@
         return json;
     }
     const auto &replica = *change.replica;
-    json.append(Json::UInt64(replica.life.value()));
+    json.append(Json::UInt64(replica.incarnation.value()));
     json.append(replica.service.value());
     json.append(replica.address.host);
     json.append(replica.address.port);
@@ -110,7 +110,7 @@
     }
     served_replica replica;
     replica.id = change.id;
-    replica.life = replica_life(json[life_index].asUInt64());
+    replica.incarnation = replica_incarnation(json[life_index].asUInt64());
     replica.service = service_id(json[service_index].asString());
     replica.address = {json[host_index].asString(), static_cast<std::uint16_t>(json[port_index].asUInt())};
     replica.dataCentre = data_centre_id(json[data_centre_index].asString());
--- a/Libraries/Feed/report_codec.cpp
+++ b/Libraries/Feed/report_codec.cpp
@@ -14,7 +14,7 @@
 constexpr auto roundField = "round";
 constexpr auto ageField = "age";
 constexpr auto replicaField = "replica";
-constexpr auto lifeField = "life";
+constexpr auto incarnationField = "life";
 constexpr auto limitField = "limit";
 constexpr auto leavingField = "leaving";
 
@@ -57,7 +57,7 @@
 {
     Json::Value json;
     json[replicaField] = report.replica.replica.value();
-    json[lifeField] = Json::UInt64(report.replica.life.value());
+    json[incarnationField] = Json::UInt64(report.replica.incarnation.value());
     if (report.rateLimit) {
         json[limitField] = *report.rateLimit;
     }
@@ -72,7 +72,7 @@
         return std::nullopt;
     }
     constraint_report report;
-    report.replica = {instance_id(jsonString(json, replicaField)), replica_life(jsonNumber(json, lifeField))};
+    report.replica = {instance_id(jsonString(json, replicaField)), replica_incarnation(jsonNumber(json, incarnationField))};
     report.rateAge = duration(static_cast<std::int64_t>(jsonNumber(json, ageField)));
     report.isLeaving = jsonFlag(json, leavingField);
     if (json.isMember(limitField)) {
--- a/Libraries/Groups/planning.cpp
+++ b/Libraries/Groups/planning.cpp
@@ -163,7 +163,7 @@
         return false;
     }
     constexpr int wholePercent = 100;
-    const auto kept = (*want.replicas * want.wanted.keptPercent + wholePercent - 1) / wholePercent;
+    const auto kept = (*want.replicas * want.wanted.minServingPercent + wholePercent - 1) / wholePercent;
     return serving - 1 >= kept;
 }
 
--- a/Libraries/Http/http_client.cpp
+++ b/Libraries/Http/http_client.cpp
@@ -215,7 +215,7 @@
         for (;;) {
             std::array<pollfd, 2> sockets{{{session->socket().impl()->sockfd(), POLLIN, 0}, {callerSocket, POLLRDHUP, 0}}};
             const auto left = std::max<std::int64_t>(0, (deadline - monotonicNow()).count());
-            const auto ready = poll(sockets.data(), sockets.size(), static_cast<int>(std::min<std::int64_t>(left, longestWait.count())));
+            const auto ready = poll(sockets.data(), sockets.size(), static_cast<int>(std::min<std::int64_t>(left, maxSteadyWait.count())));
             if (ready < 0 && errno == EINTR) {
                 continue;
             }
--- a/Libraries/Http/http_upstream.cpp
+++ b/Libraries/Http/http_upstream.cpp
@@ -57,7 +57,7 @@
     {
         for (;;) {
             std::array<pollfd, 2> sockets{{{session->socket().impl()->sockfd(), POLLIN, 0}, {callerSocket, POLLRDHUP, 0}}};
-            const auto left = std::clamp<std::int64_t>((deadline - monotonicNow()).count(), 0, longestWait.count());
+            const auto left = std::clamp<std::int64_t>((deadline - monotonicNow()).count(), 0, maxSteadyWait.count());
             const auto ready = poll(sockets.data(), sockets.size(), static_cast<int>(left));
             if (ready < 0 && errno == EINTR) {
                 continue;
--- a/Libraries/Requests/crash_suspects.cpp
+++ b/Libraries/Requests/crash_suspects.cpp
@@ -82,9 +82,9 @@
 
 } // namespace
 
-replica_end replicaEndOf(const std::string &replica, std::uint64_t life)
+replica_end replicaEndOf(const std::string &replica, std::uint64_t incarnation)
 {
-    return replica_end(hashOf(replica, life));
+    return replica_end(hashOf(replica, incarnation));
 }
 
 void recordReplicaEnd(
--- a/Libraries/Requests/crash_suspects.h
+++ b/Libraries/Requests/crash_suspects.h
@@ -67,7 +67,7 @@
 };
 
 /// Returns the id of the termination of one incarnation of a replica, which is the same at every daemon.
-replica_end replicaEndOf(const std::string &replica, std::uint64_t life);
+replica_end replicaEndOf(const std::string &replica, std::uint64_t incarnation);
 
 /// Records that a replica terminated while the request was there.
 void recordReplicaEnd(
--- a/Libraries/Requests/replica_constraints.h
+++ b/Libraries/Requests/replica_constraints.h
@@ -18,7 +18,7 @@
 struct replica_key
 {
     instance_id replica;
-    replica_life life;
+    replica_incarnation incarnation;
 
     auto operator<=>(const replica_key &) const = default;
 };
--- a/Libraries/Routing/replica_directory.h
+++ b/Libraries/Routing/replica_directory.h
@@ -46,7 +46,7 @@
 {
     instance_id id;
     /// "Never" if the replica does not report its incarnation; then each incarnation has its own id.
-    replica_life life;
+    replica_incarnation incarnation;
     service_id service;
     endpoint address;
     data_centre_id dataCentre;
@@ -70,7 +70,7 @@
 };
 
 /// Whether two reports under one id come from different incarnations. A later incarnation has no state of an earlier one.
-inline bool isAnotherIncarnation(replica_life one, replica_life other)
+inline bool isAnotherIncarnation(replica_incarnation one, replica_incarnation other)
 {
     return one != other;
 }
--- a/Libraries/Settings/daemon_settings.cpp
+++ b/Libraries/Settings/daemon_settings.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 constexpr std::size_t minimumTokenLength = 8;
-constexpr int leasePerOrder = 3;
+constexpr int leaseToOrderTimeRatio = 3;
 constexpr duration leaseMargin(1000);
 
-/// A secret is the name of an environment variable, so that it stands in no file.
+/// Reads a secret from the environment variable that the key names, so that secrets are not stored in a file.
 std::string readSecret(yaml_reader &reader, const std::string &key)
 {
     const auto variable = reader.requiredString(key);
@@ -48,7 +48,7 @@
 {
     for (const auto &text : reader.strings("first-peers")) {
         if (const auto address = parseEndpoint(text)) {
-            settings.firstPeers.push_back(*address);
+            settings.seedPeers.push_back(*address);
         } else {
             reader.report("first-peers", "a list of IP numbers with ports");
         }
@@ -69,8 +69,9 @@
 {
     settings.leaseTime = readDuration(reader, "lease-ms", 1000, 60000, 9000);
     settings.orderTimeout = readDuration(reader, "order-timeout-ms", 100, 30000, 2000);
-    // An order may leave only while the lease outlasts its timeout and a second's margin, also right before a renewal.
-    if (settings.leaseTime < leasePerOrder * (settings.orderTimeout + leaseMargin)) {
+    // An order may only be sent while the rest of the lease exceeds the order's timeout plus a margin of one second, even right before a
+    // renewal.
+    if (settings.leaseTime < leaseToOrderTimeRatio * (settings.orderTimeout + leaseMargin)) {
         reader.report("lease-ms", "at least three times the order-timeout-ms plus a second");
     }
     settings.observationPeriod = readDuration(reader, "observation-ms", 100, 10000, 1000);
--- a/Libraries/Settings/daemon_settings.h
+++ b/Libraries/Settings/daemon_settings.h
@@ -13,7 +13,7 @@
 
 namespace vetchpost {
 
-/// What one daemon is told at its start. Every key is described in docs/OPERATING.md.
+/// The settings that a daemon reads at its start. docs/OPERATING.md describes every key.
 struct daemon_settings
 {
     daemon_id daemon;
@@ -24,8 +24,8 @@
     endpoint keyValue;
     endpoint instanceList;
     endpoint weightStore;
-    /// Peers to ask first; the others are learned from them.
-    std::vector<endpoint> firstPeers;
+    /// The daemons to contact first; they supply the addresses of the other daemons.
+    std::vector<endpoint> seedPeers;
     std::string operatorToken;
     std::string peerToken;
     std::size_t maximumBodyBytes = 0;
@@ -40,7 +40,8 @@
     log_level lowestLogLevel = log_level::info;
 };
 
-/// Reads and checks the settings. Nothing where there is any problem.
+/// Parses and checks the settings. Appends what is wrong to \a problems, and returns nothing if there is any problem. \a file is only the
+/// name of the text in the problems.
 std::optional<daemon_settings> readDaemonSettings(const std::string &text, const std::string &file, std::vector<yaml_problem> &problems);
 
 } // namespace vetchpost
--- a/Libraries/Settings/entry_settings.cpp
+++ b/Libraries/Settings/entry_settings.cpp
@@ -34,7 +34,7 @@
 {
     settings.retryShare = reader.number("share", 0, 1, 0.2);
     settings.retryWindow = readDuration(reader, "window-ms", 100, 600000, 10000);
-    settings.retrySlack = static_cast<int>(reader.wholePart("slack", 0, 1000000, 100));
+    settings.retrySlack = static_cast<int>(reader.integerRoundedDown("slack", 0, 1000000, 100));
     reader.refuseUnknownKeys();
 }
 
@@ -67,9 +67,9 @@
     return settings;
 }
 
-// Keys go out of date with the configuration that they stand in. Read only as often as the bound for configurations asks, it would let a
-// daemon refuse all requests for the time of each reading.
-duration oldestConfiguration(const entry_settings &settings)
+// Keys are part of the configuration and become stale with it. If the configuration were only read as often as configurationApply requires,
+// a daemon could refuse all requests during each read.
+duration configurationAgeLimit(const entry_settings &settings)
 {
     return settings.isKeyRevocationStrict ? std::min(settings.configurationApply, settings.keyRevocation) : settings.configurationApply;
 }
--- a/Libraries/Settings/entry_settings.h
+++ b/Libraries/Settings/entry_settings.h
@@ -13,52 +13,54 @@
 
 namespace vetchpost {
 
-/// What an entry daemon is told at its start. Every key is described in docs/OPERATIONS.md.
+/// The settings that an entry daemon reads at its start. docs/OPERATIONS.md describes every key.
 struct entry_settings
 {
     daemon_id daemon;
     data_centre_id dataCentre;
     endpoint callers;
-    /// Where the balancer asks whether this daemon takes new connections.
+    /// The load balancer checks here whether this daemon accepts new connections.
     endpoint readiness;
-    /// Calls from other daemons, and metrics.
+    /// Serves calls from other daemons and the metrics.
     endpoint peers;
     endpoint keyValue;
-    /// The very first start of the whole system: nothing serves yet.
+    /// Whether this is the first start of the whole system, before anything serves requests.
     bool isFirstStart = false;
     int maximumConnections = 0;
-    /// How long a key may still be taken after an operator has withdrawn it.
+    /// The time for which a key may still be accepted after an operator has revoked it.
     duration keyRevocation{};
-    /// Whether that holds for a daemon that is cut off too: one that has not heard for so long that its keys are the newest takes none.
+    /// Whether keyRevocation also applies to a daemon that is cut off. Such a daemon accepts no keys once its keys have not been confirmed
+    /// as current for that time.
     bool isKeyRevocationStrict = true;
-    /// How soon an accepted configuration has to be in force at every daemon.
+    /// The time within which an accepted configuration must be in force at every daemon.
     duration configurationApply{};
-    /// Between SIGTERM and SIGKILL.
+    /// The time between SIGTERM and SIGKILL.
     duration stopGrace{};
-    /// How often a replica writes to its entry; three missing writes remove it.
+    /// The period at which a replica writes its entry. The entry is removed after three missing writes.
     duration heartbeat{};
-    /// How long a group that lost a member stands still before its head gives up.
+    /// The time for which a group that has lost a member stalls before its head gives up.
     duration stallTime{};
-    /// Repeats that all daemons together may send: a share of the requests ...
+    /// The retries that all daemons together may send, as a share of the requests in the last retryWindow.
     double retryShare = 0;
-    /// ... within this window ...
+    /// The time window in which requests and retries are counted.
     duration retryWindow{};
-    /// ... and so many besides.
+    /// The number of retries that all daemons together may send in a retryWindow in addition to retryShare.
     int retrySlack = 0;
-    /// How long the coordinator's lease holds without a renewal.
+    /// The time after which the coordinator's lease expires unless it is renewed.
     duration leaseTime{};
-    /// Whether decisions are logged on standard output.
+    /// Whether decisions are logged to standard output.
     bool isLogOn = true;
-    /// Of the settings' text, to tell one from another.
+    /// The digest of the text of the settings, to distinguish different settings.
     std::string digest;
     log_level lowestLogLevel = log_level::info;
 };
 
-/// Reads and checks the settings. Nothing where there is any problem.
+/// Parses and checks the settings. Appends what is wrong to \a problems, and returns nothing if there is any problem. \a file is only the
+/// name of the text in the problems.
 std::optional<entry_settings> readEntrySettings(const std::string &text, const std::string &file, std::vector<yaml_problem> &problems);
 
-/// How old a daemon's configuration may become: the bound for putting one in force, or that for withdrawn keys where it is strict and
+/// Returns the highest age that the configuration of a daemon may reach: configurationApply, or keyRevocation if that is strict and
 /// shorter.
-duration oldestConfiguration(const entry_settings &settings);
+duration configurationAgeLimit(const entry_settings &settings);
 
 } // namespace vetchpost
--- a/Libraries/Settings/setting_values.cpp
+++ b/Libraries/Settings/setting_values.cpp
@@ -15,7 +15,7 @@
 
 duration readDuration(yaml_reader &reader, const std::string &key, int minimum, int maximum, int defaultValue)
 {
-    return duration(reader.wholePart(key, minimum, maximum, defaultValue));
+    return duration(reader.integerRoundedDown(key, minimum, maximum, defaultValue));
 }
 
 log_level readLogLevel(yaml_reader &reader)
--- a/Libraries/Settings/setting_values.h
+++ b/Libraries/Settings/setting_values.h
@@ -8,14 +8,14 @@
 
 #include <string>
 
-/// Values that several settings files have in common.
+/// Readers for values that several settings files have in common.
 namespace vetchpost {
 
-/// A required IP number with a port.
+/// Reads a required IPv4 address with a port. Returns an empty endpoint if it is missing or wrong.
 endpoint readEndpoint(yaml_reader &reader, const std::string &key);
-/// A time in milliseconds.
+/// Reads a time in milliseconds; fractions are rounded down.
 duration readDuration(yaml_reader &reader, const std::string &key, int minimum, int maximum, int defaultValue);
-/// The key log-level: debug, info (the default), warning or error.
+/// Reads the key log-level: debug, info (the default), warning or error.
 log_level readLogLevel(yaml_reader &reader);
 
 } // namespace vetchpost
--- a/Libraries/Settings/yaml_reader.cpp
+++ b/Libraries/Settings/yaml_reader.cpp
@@ -45,15 +45,15 @@
 
 void yaml_reader::report(const std::string &key, const std::string &expected)
 {
-    const auto place = has(key) ? m_node[key] : m_node;
+    const auto location = has(key) ? m_node[key] : m_node;
     const auto path = m_path.empty() ? key : m_path + "." + key;
-    m_problems->push_back({m_file, lineOf(place), path, expected});
+    m_problems->push_back({m_file, lineOf(location), path, expected});
 }
 
 std::optional<std::string> yaml_reader::scalar(const std::string &key)
 {
     m_known.insert(key);
-    // A template leaves a key empty where the platform has no value for it.
+    // A platform that generates settings from a template leaves a key empty if it has no value for it.
     if (!has(key) || m_node[key].IsNull()) {
         return std::nullopt;
     }
@@ -110,7 +110,7 @@
     return integer(key, minimum, maximum, minimum);
 }
 
-std::int64_t yaml_reader::wholePart(const std::string &key, std::int64_t minimum, std::int64_t maximum, std::int64_t defaultValue)
+std::int64_t yaml_reader::integerRoundedDown(const std::string &key, std::int64_t minimum, std::int64_t maximum, std::int64_t defaultValue)
 {
     if (!scalar(key)) {
         return defaultValue;
--- a/Tests/Assembly/assemblySimulation.cpp
+++ b/Tests/Assembly/assemblySimulation.cpp
@@ -164,7 +164,7 @@
     fake_replica next;
     next.reportedState = before.reportedState;
     next.highestEver = before.highestEver;
-    next.reportedState.life = before.reportedState.life.next();
+    next.reportedState.incarnation = before.reportedState.incarnation.next();
     next.reportedState.isDraining = false;
     next.reportedState.model.reset();
     next.reportedState.membership.reset();
@@ -330,7 +330,7 @@
 {
     for (const auto &[id, replica] : m_directory.replicas) {
         if (isAnswering(replica)) {
-            recordProbe(m_silent, id, {m_now, true, replica.life});
+            recordProbe(m_silent, id, {m_now, true, replica.incarnation});
             continue;
         }
         if (!hasPassedSince(m_selfCheck, m_now)) {
@@ -344,7 +344,7 @@
             recordSelfCheck(m_selfCheck, m_now, static_cast<std::size_t>(answered) >= requiredAnswers(references.size()));
         }
         if (hasPassedSince(m_selfCheck, m_now)) {
-            recordProbe(m_silent, id, {m_now, false, replica.life});
+            recordProbe(m_silent, id, {m_now, false, replica.incarnation});
         }
     }
 }
@@ -426,7 +426,7 @@
         for (const auto &[when, count] : replica.reportedCounts) {
             reported = when + reportLag <= m_now ? count : reported;
         }
-        return {order_result::accepted, reported, replica.reportedState.life};
+        return {order_result::accepted, reported, replica.reportedState.incarnation};
     }
     const auto result = execute(replica, order);
     if (result == order_result::accepted) {
--- a/Tests/Assembly/testIncarnations.cpp
+++ b/Tests/Assembly/testIncarnations.cpp
@@ -24,11 +24,11 @@
     CHECK(simulation.servingGroups(small) == 8);
 }
 
-served_replica incarnationOf(const instance_id &id, std::uint64_t life)
+served_replica incarnationOf(const instance_id &id, std::uint64_t incarnation)
 {
     served_replica replica;
     replica.id = id;
-    replica.life = replica_life(life);
+    replica.incarnation = replica_incarnation(incarnation);
     return replica;
 }
 
@@ -96,12 +96,12 @@
     const instant now(duration(1000000));
     silent_replicas silent;
     replica_directory directory{{{id, incarnationOf(id, 1)}}};
-    CHECK(recordProbe(silent, id, {now, false, replica_life(1)}));
+    CHECK(recordProbe(silent, id, {now, false, replica_incarnation(1)}));
     CHECK(updateSuspicions(silent, directory, now).suspects.contains(id));
-    directory.replicas.at(id).life = replica_life(2);
+    directory.replicas.at(id).incarnation = replica_incarnation(2);
     CHECK(updateSuspicions(silent, directory, now).suspects.empty());
     // The late result of a probe of the earlier incarnation does not concern the new one.
-    recordProbe(silent, id, {now, false, replica_life(1)});
+    recordProbe(silent, id, {now, false, replica_incarnation(1)});
     CHECK(updateSuspicions(silent, directory, now).suspects.empty());
 }
 
@@ -110,11 +110,11 @@
     assembly_state state;
     const instance_id id("i-1");
     const instant now(duration(1000000));
-    state.incarnations[id] = replica_life(2);
+    state.incarnations[id] = replica_incarnation(2);
     state.acceptedOrders[id] = 0;
     replica_order order;
     order.to = id;
-    order.life = replica_life(1);
+    order.incarnation = replica_incarnation(1);
     recordOrderResult(state, order, {order_result::accepted, 0}, now);
     CHECK(state.acceptedOrders.at(id) == 0);
     order.kind = order_kind::stage;
@@ -131,7 +131,7 @@
     replica_order order;
     order.kind = order_kind::probe;
     order.to = id;
-    order.life = replica_life(1);
-    recordOrderResult(state, order, {order_result::accepted, 7, replica_life(2)}, instant(duration(1000000)));
+    order.incarnation = replica_incarnation(1);
+    recordOrderResult(state, order, {order_result::accepted, 7, replica_incarnation(2)}, instant(duration(1000000)));
     CHECK_FALSE(state.acceptedOrders.contains(id));
 }
--- a/Tests/Base/testBase.cpp
+++ b/Tests/Base/testBase.cpp
@@ -23,7 +23,7 @@
     }
 }
 
-TEST_CASE("Coming back is suggested only for what did not run or is still running")
+TEST_CASE("A retry is suggested only for requests that did not run or are still running")
 {
     for (const auto &answer : errorAnswers()) {
         if (answer.retryAfter.count() > 0) {
@@ -32,15 +32,16 @@
     }
 }
 
-TEST_CASE("An endpoint is an IP number and a port, and nothing else")
+TEST_CASE("Only an IPv4 address with a port is parsed as an endpoint")
 {
     CHECK(parseEndpoint("127.0.0.1:80") == endpoint{"127.0.0.1", 80});
-    for (const auto *bad : {"", "127.0.0.1", "127.0.0.1:", "127.0.0.1:0", "127.0.0.1:70000", "127.0.0.1:8x", "localhost:80", "1.2.3:4"}) {
-        CHECK_FALSE(parseEndpoint(bad));
+    for (const auto *invalid :
+         {"", "127.0.0.1", "127.0.0.1:", "127.0.0.1:0", "127.0.0.1:70000", "127.0.0.1:8x", "localhost:80", "1.2.3:4"}) {
+        CHECK_FALSE(parseEndpoint(invalid));
     }
 }
 
-TEST_CASE("JSON of any depth and any garbage is refused without a crash")
+TEST_CASE("Invalid and too deeply nested JSON is rejected without a crash")
 {
     CHECK_FALSE(parseJson(std::string(100000, '[')));
     CHECK_FALSE(parseJson("{\"a\":"));
@@ -50,7 +51,7 @@
     CHECK(jsonString(*parseJson("[1]"), "a").empty());
 }
 
-TEST_CASE("Secrets are the same only if every character is")
+TEST_CASE("Secrets are equal only if all of their characters are")
 {
     CHECK(isSameSecret("token", "token"));
     CHECK_FALSE(isSameSecret("token", "tokem"));
@@ -58,7 +59,7 @@
     CHECK_FALSE(isSameSecret("", "t"));
 }
 
-TEST_CASE("Readers of a snapshot see a whole value while it is replaced")
+TEST_CASE("Readers of a snapshot see a consistent value while it is replaced")
 {
     struct pair_value
     {
--- a/Tests/Base/testEventLog.cpp
+++ b/Tests/Base/testEventLog.cpp
@@ -19,7 +19,7 @@
 
 constexpr event_log testLog("test");
 
-/// Standard output led into a pipe for the time of one test.
+/// Redirects standard output to a pipe while it exists.
 class captured_output
 {
 public:
@@ -63,7 +63,7 @@
 
 } // namespace
 
-TEST_CASE("Each event is one JSON object on a line, whatever its values hold")
+TEST_CASE("Each event is one JSON object on one line, whatever its values contain")
 {
     std::string text;
     {
@@ -91,7 +91,7 @@
     CHECK_FALSE(std::getline(lines, line));
 }
 
-TEST_CASE("A reader that takes nothing holds nobody up, and what is left out is counted")
+TEST_CASE("A reader that reads nothing does not block the log, and dropped lines are counted")
 {
     const auto before = droppedLogLines();
     duration longest{};
@@ -110,7 +110,7 @@
     CHECK(longest < duration(200));
 }
 
-TEST_CASE("A part that says too much is cut short, which is told; lines that are kept and other parts' lines are all there")
+TEST_CASE("Lines beyond the rate limit of a part are dropped and reported; essential lines and the lines of other parts are all written")
 {
     constexpr event_log loud("loud");
     constexpr event_log quiet("quiet");
@@ -122,7 +122,7 @@
             loud.write("often", {});
         }
         for (int i = 0; i < 50; ++i) {
-            loud.writeKept("badly", {});
+            loud.writeEssential("badly", {});
         }
         quiet.write("once", {});
         stopEventLog();
@@ -130,7 +130,7 @@
     }
     std::map<std::string, int> counts;
     std::istringstream lines(text);
-    int told = 0;
+    int reported = 0;
     for (std::string line; std::getline(lines, line);) {
         const auto json = parseJson(line);
         REQUIRE(json);
@@ -138,18 +138,18 @@
         if ((*json)["event"].asString() == "lines_left_out") {
             CHECK((*json)["of"].asString() == "loud");
             CHECK((*json)["ms"].asInt64() > 0);
-            told += (*json)["count"].asInt();
+            reported += (*json)["count"].asInt();
         }
     }
     CHECK(counts["badly"] == 50);
     CHECK(counts["once"] == 1);
     CHECK(counts["often"] < 600);
-    CHECK(counts["often"] + told == 1000);
-    CHECK(droppedLogLinesByPart().at("loud") == static_cast<std::uint64_t>(told));
+    CHECK(counts["often"] + reported == 1000);
+    CHECK(droppedLogLinesByPart().at("loud") == static_cast<std::uint64_t>(reported));
     CHECK(droppedLogLinesByPart().at("quiet") == 0);
 }
 
-TEST_CASE("What is gathered elsewhere is asked for before the end")
+TEST_CASE("The function for collected events is called before the log stops")
 {
     std::string text;
     {
@@ -169,7 +169,7 @@
         setEventLogOn(false);
         startEventLog();
         testLog.write("happened", {});
-        testLog.writeKept("happened", {});
+        testLog.writeEssential("happened", {});
         stopEventLog();
         setEventLogOn(true);
         text = output.read();
--- a/Tests/Base/testTimerService.cpp
+++ b/Tests/Base/testTimerService.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-TEST_CASE("A subscriber is called once a period, and a missed period is not made up for")
+TEST_CASE("A subscriber is called once per period, and missed periods are not made up for")
 {
     mock_subscriber subscriber;
     timer_service timers;
@@ -30,14 +30,14 @@
         timers.runDue(start + duration(100));
     }
     {
-        // After a pause of many periods it is called once.
+        // After a pause of several periods the subscriber is called once.
         REQUIRE_CALL(subscriber, due(start + duration(1000)));
         timers.runDue(start + duration(1000));
         timers.runDue(start + duration(1050));
     }
 }
 
-TEST_CASE("A subscriber that throws does not keep the others from being called")
+TEST_CASE("A subscriber that throws does not prevent calls to the others")
 {
     timer_service timers;
     int calls = 0;
--- a/Tests/Configuration/testConfiguration.cpp
+++ b/Tests/Configuration/testConfiguration.cpp
@@ -67,13 +67,13 @@
     REQUIRE(filing != nullptr);
     CHECK(filing->model == "large");
     CHECK(filing->replicas == 7);
-    // A parameter that is neither given nor defaulted leaves the key at its own default.
+    // Without a value and a default for the parameter, the default of the deployment's key applies.
     CHECK(filing->downtimeWeight == 1);
     CHECK(mayUse(*filing, organisation_id("okonjo")));
     CHECK_FALSE(mayUse(*filing, organisation_id("ebro")));
 }
 
-TEST_CASE("Parameters are checked by type, bounds and choices, and unknown ones are refused")
+TEST_CASE("Parameters are checked by type, bounds and choices, and unknown ones are rejected")
 {
     CHECK(mentions(problemsOf(configurationWith("")), "c.yaml:13: deployments.filing.parameters.model: expected a value"));
     CHECK(mentions(problemsOf(configurationWith("model: m, replicas: 101")), "parameters.replicas: expected a whole number from 1 to 100"));
@@ -82,7 +82,7 @@
     CHECK(mentions(problemsOf(configurationWith("model: m, sise: small")), "parameters.sise: expected no such key here"));
 }
 
-TEST_CASE("References must lead somewhere and names must be names")
+TEST_CASE("References to missing templates and organisations and invalid names are rejected")
 {
     const auto extra = "  other: {template: missing, organisations: [nobody]}\n  Bad_Name: {template: spanning, parameters: {model: m}}\n";
     const auto problems = problemsOf(configurationWith("model: m", extra));
@@ -98,13 +98,13 @@
     CHECK(mentions(problemsOf(text), "a key digest of its own"));
 }
 
-TEST_CASE("Bearer keys are found by their digest alone")
+TEST_CASE("The digest of a bearer key is its SHA-256 hash")
 {
     CHECK(keyDigest("example-key-okonjo") == "102ab483bbb3167f9125f14702ebb4b926c6f68cca20813d569305cc1bb63faa");
     CHECK(keyDigest("a") != keyDigest("b"));
 }
 
-TEST_CASE("Any cut of a good configuration is read or refused, never a crash")
+TEST_CASE("Any truncated configuration is either read or rejected, without a crash")
 {
     const auto text = configurationWith("model: large, replicas: 7");
     for (std::size_t length = 0; length < text.size(); ++length) {
--- a/Tests/Entry/testReplicaEntries.cpp
+++ b/Tests/Entry/testReplicaEntries.cpp
@@ -44,7 +44,7 @@
     CHECK_FALSE(directory.replicas.at(instance_id("b")).isDraining);
 
     auto next = replica("a", 101);
-    next.replica->life = replica_life(2);
+    next.replica->incarnation = replica_incarnation(2);
     applyChange(entries, next, now);
     directory = entries.directory;
     markLeaving(directory, leaving);
@@ -60,7 +60,7 @@
     auto entries = known();
     leaving_replicas leaving;
     CHECK(areMarkedLeaving(entries.directory, leaving));
-    updateLeaving(leaving, {{id, {}}, {instance_id("elsewhere"), {}}, {instance_id("b"), replica_life(7)}}, now);
+    updateLeaving(leaving, {{id, {}}, {instance_id("elsewhere"), {}}, {instance_id("b"), replica_incarnation(7)}}, now);
     CHECK_FALSE(areMarkedLeaving(entries.directory, leaving));
 
     auto shown = entries.directory;
@@ -234,12 +234,12 @@
 {
     replica_entries entries;
     auto change = replica("a");
-    change.replica->life = replica_life(1);
+    change.replica->incarnation = replica_incarnation(1);
     change.replica->model = model_id("m");
     change.replica->isDraining = true;
     applyChange(entries, change, now);
     auto next = replica("a", 2);
-    next.replica->life = replica_life(2);
+    next.replica->incarnation = replica_incarnation(2);
     applyChange(entries, next, now + duration(1000));
     const auto &known = entries.directory.replicas.at(instance_id("a"));
     CHECK_FALSE(known.model);
@@ -251,10 +251,10 @@
 {
     replica_entries entries;
     auto change = replica("a");
-    change.replica->life = replica_life(1);
+    change.replica->incarnation = replica_incarnation(1);
     applyChange(entries, change, now);
     auto next = replica("a", 2);
-    next.replica->life = replica_life(2);
+    next.replica->incarnation = replica_incarnation(2);
     next.replica->isDraining = true;
     applyChange(entries, next, now + duration(1000));
     CHECK(entries.directory.leavingSince.at(instance_id("a")) == instant());
--- a/Tests/Feed/limitSimulation.cpp
+++ b/Tests/Feed/limitSimulation.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-const replica_key replica{instance_id("i-1"), replica_life(7)};
+const replica_key replica{instance_id("i-1"), replica_incarnation(7)};
 constexpr duration window(4000);
 constexpr duration contactTime(3000);
 /// All daemons have learned of the limit within this time.
--- a/Tests/Groups/groupSimulation.cpp
+++ b/Tests/Groups/groupSimulation.cpp
@@ -28,7 +28,7 @@
     wanted.instancesPerReplica = groupSize;
     wanted.priority = priority;
     wanted.enginesCheckFencing = checksFencing;
-    wanted.keptPercent = 50;
+    wanted.minServingPercent = 50;
     wanted.loadTime = loadTime;
     wanted.restartTime = std::chrono::seconds(10);
     return wanted;
--- a/Tests/Groups/testPlanning.cpp
+++ b/Tests/Groups/testPlanning.cpp
@@ -50,7 +50,7 @@
         wanted.priority = priority;
         wanted.instancesPerReplica = size;
         wanted.enginesCheckFencing = true;
-        wanted.keptPercent = 75;
+        wanted.minServingPercent = 75;
         wanted.loadTime = std::chrono::seconds(60);
         wanted.restartTime = std::chrono::seconds(240);
         wants.push_back({wanted, replicas});
--- a/Tests/Groups/testTakeover.cpp
+++ b/Tests/Groups/testTakeover.cpp
@@ -29,7 +29,7 @@
     wanted.version = "1";
     wanted.instancesPerReplica = groupSize;
     wanted.priority = 5;
-    wanted.keptPercent = 75;
+    wanted.minServingPercent = 75;
     wanted.loadTime = std::chrono::seconds(60);
     wanted.restartTime = std::chrono::seconds(240);
     return wanted;
--- a/Tests/PlatformAdapter/testPlatformDialect.cpp
+++ b/Tests/PlatformAdapter/testPlatformDialect.cpp
@@ -307,9 +307,9 @@
 {
     const platform_dialect dialect;
     reason why;
-    CHECK(dialect.readReplica(instance_id("i-1"), replicaText, why)->life == replica_life());
+    CHECK(dialect.readReplica(instance_id("i-1"), replicaText, why)->incarnation == replica_incarnation());
     const auto text = entryWith("born", Json::UInt64(1764720000123));
-    CHECK(dialect.readReplica(instance_id("i-1"), text, why)->life == replica_life(1764720000123));
+    CHECK(dialect.readReplica(instance_id("i-1"), text, why)->incarnation == replica_incarnation(1764720000123));
     replica_order look;
     look.kind = order_kind::probe;
     http_reply reply;
@@ -317,5 +317,5 @@
     reply.body = R"({"Seq":3,"born":1764720000123})";
     const auto answer = dialect.readOrderAnswer(look, reply);
     CHECK(answer.acceptedOrders == 3);
-    CHECK(answer.life == replica_life(1764720000123));
+    CHECK(answer.incarnation == replica_incarnation(1764720000123));
 }
--- a/Tests/PlatformStandIn/testReplicaModel.cpp
+++ b/Tests/PlatformStandIn/testReplicaModel.cpp
@@ -162,7 +162,7 @@
     const auto serving = head.serving;
     SECTION("by its end")
     {
-        endLife(world, *findReplica(world, "b"));
+        endIncarnation(world, *findReplica(world, "b"));
     }
     SECTION("by a cut")
     {
@@ -225,7 +225,7 @@
     }
     SECTION("nor once its head has gone")
     {
-        endLife(world, *findReplica(world, "a"));
+        endIncarnation(world, *findReplica(world, "a"));
         isInUse = false;
     }
     CHECK(give(world, "b", joinOrder("h", 2, {"b", "c"}), present) == begun);
--- a/Tests/Requests/testReplicaConstraints.cpp
+++ b/Tests/Requests/testReplicaConstraints.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 const instant start{duration(1000000)};
-const replica_key replica{instance_id("i-1"), replica_life(1)};
-const replica_key nextIncarnation{instance_id("i-1"), replica_life(2)};
+const replica_key replica{instance_id("i-1"), replica_incarnation(1)};
+const replica_key nextIncarnation{instance_id("i-1"), replica_incarnation(2)};
 
 replica_notice limitOf(double limit)
 {
--- a/Tests/Settings/testDaemonSettings.cpp
+++ b/Tests/Settings/testDaemonSettings.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr auto good = R"(daemon: ikeja-1
+constexpr auto validSettings = R"(daemon: ikeja-1
 data-centre: ikeja
 listen:
   callers: 127.0.0.1:8100
@@ -37,48 +37,49 @@
     return texts;
 }
 
-std::string with(const std::string &from, const std::string &to)
+std::string replaceText(const std::string &from, const std::string &to)
 {
-    std::string text = good;
-    const auto place = text.find(from);
-    REQUIRE(place != std::string::npos);
-    return text.replace(place, from.size(), to);
+    std::string text = validSettings;
+    const auto position = text.find(from);
+    REQUIRE(position != std::string::npos);
+    return text.replace(position, from.size(), to);
 }
 
 } // namespace
 
-TEST_CASE("Good settings have no problems")
+TEST_CASE("Valid settings have no problems")
 {
-    CHECK(problemsOf(good).empty());
+    CHECK(problemsOf(validSettings).empty());
 }
 
-TEST_CASE("Every problem is told with file, line, key and what was expected")
+TEST_CASE("Every problem is reported with its file, line, key and the expected value")
 {
-    CHECK(problemsOf(with("callers: 127.0.0.1:8100", "callers: everywhere"))
+    CHECK(problemsOf(replaceText("callers: 127.0.0.1:8100", "callers: everywhere"))
           == std::vector<std::string>{"d.yaml:4: listen.callers: expected an IP number and a port, as in 127.0.0.1:8100"});
-    CHECK(problemsOf(with("daemon: ikeja-1\n", "")).front().find("daemon: expected a text; the key is required") != std::string::npos);
-    const auto unknown = problemsOf(with("  peers: 127.0.0.1:8102\n", "  peers: 127.0.0.1:8102\n  poers: 1\n"));
+    CHECK(problemsOf(replaceText("daemon: ikeja-1\n", "")).front().find("daemon: expected a text; the key is required")
+          != std::string::npos);
+    const auto unknown = problemsOf(replaceText("  peers: 127.0.0.1:8102\n", "  peers: 127.0.0.1:8102\n  poers: 1\n"));
     REQUIRE(unknown.size() == 1);
     CHECK(unknown.front().find("d.yaml:7: listen.poers: expected no such key here") == 0);
-    CHECK(problemsOf(std::string(good) + "limits: {streams: 0}\n")
+    CHECK(problemsOf(std::string(validSettings) + "limits: {streams: 0}\n")
           == std::vector<std::string>{"d.yaml:13: limits.streams: expected a whole number from 1 to 20000"});
-    CHECK(problemsOf(std::string(good) + "limits: [1]\n") == std::vector<std::string>{"d.yaml:13: limits: expected a mapping"});
-    CHECK(problemsOf(with("operator-token-variable: TEST_TOKEN", "operator-token-variable: NOT_SET_ANYWHERE")).size() == 1);
+    CHECK(problemsOf(std::string(validSettings) + "limits: [1]\n") == std::vector<std::string>{"d.yaml:13: limits: expected a mapping"});
+    CHECK(problemsOf(replaceText("operator-token-variable: TEST_TOKEN", "operator-token-variable: NOT_SET_ANYWHERE")).size() == 1);
 }
 
-TEST_CASE("A lease that would never leave time for an order is refused")
+TEST_CASE("A lease that is too short for an order is rejected")
 {
-    CHECK(problemsOf(std::string(good) + "timing: {lease-ms: 3000}\n")
+    CHECK(problemsOf(std::string(validSettings) + "timing: {lease-ms: 3000}\n")
           == std::vector<std::string>{"d.yaml:13: timing.lease-ms: expected at least three times the order-timeout-ms plus a second"});
-    CHECK(problemsOf(std::string(good) + "timing: {lease-ms: 4500, order-timeout-ms: 500}\n").empty());
+    CHECK(problemsOf(std::string(validSettings) + "timing: {lease-ms: 4500, order-timeout-ms: 500}\n").empty());
 }
 
-TEST_CASE("All problems of a file are told at once")
+TEST_CASE("All problems of a file are reported together")
 {
     CHECK(problemsOf("daemon: a\n").size() >= 8);
 }
 
-TEST_CASE("What is no mapping, or no YAML, is refused")
+TEST_CASE("Texts that are not YAML, or whose root is not a mapping, are rejected")
 {
     CHECK(problemsOf("").size() == 1);
     CHECK(problemsOf("[1, 2]").size() == 1);
--- a/Tests/Settings/testEntrySettings.cpp
+++ b/Tests/Settings/testEntrySettings.cpp
@@ -7,18 +7,18 @@
 
 namespace {
 
-const std::string good = "daemon: d1\n"
-                         "data-centre: ikeja\n"
-                         "key-value: 10.0.0.1:8223\n"
-                         "first-start: true\n"
-                         "listen:\n"
-                         "  callers: 10.0.0.2:8227\n"
-                         "  readiness: 10.0.0.2:8220\n"
-                         "  peers: 10.0.0.2:7340\n"
-                         "timing:\n"
-                         "  key-revocation-ms: 5000\n"
-                         "retries:\n"
-                         "  share: 0.2\n";
+const std::string validSettings = "daemon: d1\n"
+                                  "data-centre: ikeja\n"
+                                  "key-value: 10.0.0.1:8223\n"
+                                  "first-start: true\n"
+                                  "listen:\n"
+                                  "  callers: 10.0.0.2:8227\n"
+                                  "  readiness: 10.0.0.2:8220\n"
+                                  "  peers: 10.0.0.2:7340\n"
+                                  "timing:\n"
+                                  "  key-revocation-ms: 5000\n"
+                                  "retries:\n"
+                                  "  share: 0.2\n";
 
 std::vector<std::string> problemsOf(const std::string &text)
 {
@@ -38,7 +38,7 @@
 TEST_CASE("An entry daemon's settings are read, with defaults for what is left out")
 {
     std::vector<yaml_problem> problems;
-    const auto settings = readEntrySettings(good, "entry.yaml", problems);
+    const auto settings = readEntrySettings(validSettings, "entry.yaml", problems);
     REQUIRE(settings);
     CHECK(settings->daemon == daemon_id("d1"));
     CHECK(settings->isFirstStart);
@@ -49,59 +49,59 @@
     CHECK(settings->retryShare == 0.2);
     CHECK(settings->isLogOn);
     CHECK_FALSE(settings->digest.empty());
-    CHECK(readEntrySettings(good, "other.yaml", problems)->digest == settings->digest);
-    CHECK(readEntrySettings(good + "connections: 500\n", "entry.yaml", problems)->digest != settings->digest);
+    CHECK(readEntrySettings(validSettings, "other.yaml", problems)->digest == settings->digest);
+    CHECK(readEntrySettings(validSettings + "connections: 500\n", "entry.yaml", problems)->digest != settings->digest);
 }
 
 TEST_CASE("Each wrong or unknown key of an entry daemon's settings is reported with its line")
 {
     CHECK(problemsOf("daemon: d1\n").size() >= 4);
-    const auto unknown = problemsOf(good + "nonsense: 1\n");
+    const auto unknown = problemsOf(validSettings + "nonsense: 1\n");
     REQUIRE(unknown.size() == 1);
     CHECK(unknown.front().find("entry.yaml:13: nonsense") != std::string::npos);
-    CHECK(problemsOf(good + "connections: 1\n").size() == 1);
+    CHECK(problemsOf(validSettings + "connections: 1\n").size() == 1);
     CHECK(problemsOf("- a list\n").size() == 1);
-    auto broken = good;
+    auto broken = validSettings;
     broken.replace(broken.find("10.0.0.1:8223"), 13, "nowhere");
     CHECK(problemsOf(broken).size() == 1);
 }
 
-TEST_CASE("Figures that a platform works out may come as fractions, or not at all")
+TEST_CASE("Values that a platform calculates may be fractions, or missing")
 {
-    auto text = good;
+    auto text = validSettings;
     text.replace(text.find("5000"), 4, "4999.5");
     std::vector<yaml_problem> problems;
     const auto settings = readEntrySettings(text + "  slack: 37.6\n", "entry.yaml", problems);
     REQUIRE(settings);
     CHECK(settings->keyRevocation == duration(4999));
     CHECK(settings->retrySlack == 37);
-    // A gap in a template yields nothing where the platform has no value.
-    const auto withGap = readEntrySettings(good + "  slack: \n", "entry.yaml", problems);
-    REQUIRE(withGap);
-    CHECK(withGap->retrySlack == 100);
-    CHECK(problemsOf(good + "  slack: much\n").size() == 1);
-    CHECK(problemsOf(good + "  slack: -0.5\n").size() == 1);
+    // A template leaves the value empty if the platform has none.
+    const auto withEmptyValue = readEntrySettings(validSettings + "  slack: \n", "entry.yaml", problems);
+    REQUIRE(withEmptyValue);
+    CHECK(withEmptyValue->retrySlack == 100);
+    CHECK(problemsOf(validSettings + "  slack: much\n").size() == 1);
+    CHECK(problemsOf(validSettings + "  slack: -0.5\n").size() == 1);
 }
 
-TEST_CASE("The bound on keys holds for daemons that are cut off unless the settings say otherwise")
+TEST_CASE("The bound on key revocation applies to daemons that are cut off unless the settings say otherwise")
 {
-    auto text = good;
+    auto text = validSettings;
     text.replace(text.find("5000"), 4, "5000\n  key-revocation-is-strict: false");
     std::vector<yaml_problem> problems;
     const auto settings = readEntrySettings(text, "entry.yaml", problems);
     REQUIRE(settings);
     CHECK_FALSE(settings->isKeyRevocationStrict);
     text.replace(text.find("false"), 5, "");
-    const auto withGap = readEntrySettings(text, "entry.yaml", problems);
-    REQUIRE(withGap);
-    CHECK(withGap->isKeyRevocationStrict);
+    const auto withEmptyValue = readEntrySettings(text, "entry.yaml", problems);
+    REQUIRE(withEmptyValue);
+    CHECK(withEmptyValue->isKeyRevocationStrict);
 }
 
-TEST_CASE("The log of decisions can be switched off")
+TEST_CASE("The decision log can be switched off")
 {
     std::vector<yaml_problem> problems;
-    const auto settings = readEntrySettings(good + "log: off\n", "entry.yaml", problems);
+    const auto settings = readEntrySettings(validSettings + "log: off\n", "entry.yaml", problems);
     REQUIRE(settings);
     CHECK_FALSE(settings->isLogOn);
-    CHECK(problemsOf(good + "log: loud\n").size() == 1);
+    CHECK(problemsOf(validSettings + "log: loud\n").size() == 1);
 }
--- a/Tests/Soak/notice_checks.cpp
+++ b/Tests/Soak/notice_checks.cpp
@@ -45,7 +45,7 @@
 }
 
 /// A replica that starts again, also under its id, knows nothing of before.
-bool endsLife(const platform_event &event)
+bool endsIncarnation(const platform_event &event)
 {
     return event.what == "started" || event.what == "gone";
 }
@@ -56,7 +56,7 @@
     for (const auto &event : facts.events) {
         const bool begins = event.what == "limit_begins";
         auto &spans = result[event.replica];
-        if ((begins || event.what == "limit_ends" || endsLife(event)) && !spans.empty()) {
+        if ((begins || event.what == "limit_ends" || endsIncarnation(event)) && !spans.empty()) {
             spans.back().until = std::min(spans.back().until, event.at);
         }
         if (begins) {
@@ -67,11 +67,11 @@
 }
 
 /// When the life ended in which a replica said something.
-instant endOfLife(const soak_facts &facts, const platform_event &said)
+instant endOfIncarnation(const soak_facts &facts, const platform_event &said)
 {
     auto end = facts.endedAt;
     for (const auto &event : facts.events) {
-        if (event.replica == said.replica && endsLife(event) && event.at > said.at) {
+        if (event.replica == said.replica && endsIncarnation(event) && event.at > said.at) {
             end = std::min(end, event.at);
         }
     }
@@ -151,7 +151,7 @@
         }
         const auto daemon = attempt->second->daemon;
         const auto rest = duration(static_cast<std::int64_t>(event.value * 1000));
-        const auto until = std::min(event.at + rest, endOfLife(facts, event));
+        const auto until = std::min(event.at + rest, endOfIncarnation(facts, event));
         const auto &all = arrivals.at(event.replica);
         const auto count = std::count_if(all.begin(), all.end(), [&](const sent_arrival &arrival) {
             return arrival.daemon == daemon && arrival.at > event.at + bounds.told && arrival.at < until;
@@ -178,7 +178,7 @@
             continue;
         }
         const auto daemon = attempt->second->daemon;
-        const auto until = endOfLife(facts, event);
+        const auto until = endOfIncarnation(facts, event);
         if (!seen.emplace(event.replica, daemon, until).second) {
             continue;
         }
--- a/Tests/StandIns/platform/replica_host.cpp
+++ b/Tests/StandIns/platform/replica_host.cpp
@@ -36,7 +36,7 @@
 {
     for (std::size_t number = 0; number < m_servers.size(); ++number) {
         m_world.replicas[number].isAlive = false;
-        startLife(number);
+        startIncarnation(number);
     }
     m_ticker = std::thread([this] { runTicks(); });
 }
@@ -54,10 +54,10 @@
 
 // Lives.
 
-void replica_host::startLife(std::size_t number)
+void replica_host::startIncarnation(std::size_t number)
 {
     // One life ends before the next begins: both need the port.
-    const std::lock_guard lives(m_livesMutex);
+    const std::lock_guard incarnations(m_incarnationsMutex);
     const auto port = static_cast<std::uint16_t>(m_options.basePort + number);
     {
         const std::lock_guard lock(m_mutex);
@@ -89,9 +89,9 @@
         endpoint{"127.0.0.1", port}, limits, [this, number](http_exchange &exchange) { handle(number, exchange); });
 }
 
-void replica_host::stopLife(std::size_t number, bool isAnnounced)
+void replica_host::stopIncarnation(std::size_t number, bool isAnnounced)
 {
-    const std::lock_guard lives(m_livesMutex);
+    const std::lock_guard incarnations(m_incarnationsMutex);
     {
         const std::lock_guard lock(m_mutex);
         auto &replica = m_world.replicas[number];
@@ -99,7 +99,7 @@
             return;
         }
         m_hasCrashed[number] = !isAnnounced;
-        endLife(m_world, replica);
+        endIncarnation(m_world, replica);
         m_world.events.back().fields["announced"] = isAnnounced;
         passEvents();
     }
@@ -131,8 +131,8 @@
             }
         }
     }
-    std::for_each(toKill.begin(), toKill.end(), [&](std::size_t number) { stopLife(number, false); });
-    std::for_each(toStart.begin(), toStart.end(), [&](std::size_t number) { startLife(number); });
+    std::for_each(toKill.begin(), toKill.end(), [&](std::size_t number) { stopIncarnation(number, false); });
+    std::for_each(toStart.begin(), toStart.end(), [&](std::size_t number) { startIncarnation(number); });
     const auto setShare = [&](const char *name, fault_share &share) {
         if (json.isMember(name)) {
             share.set(json[name].isObject() ? json[name]["share"] : json[name]);
@@ -281,8 +281,8 @@
         }
         std::erase_if(m_endedReplicas, [&](const ended_replica &ended) { return ended.startsAt <= now; });
     }
-    std::for_each(toEnd.begin(), toEnd.end(), [&](std::size_t number) { stopLife(number, false); });
-    std::for_each(toStart.begin(), toStart.end(), [&](std::size_t number) { startLife(number); });
+    std::for_each(toEnd.begin(), toEnd.end(), [&](std::size_t number) { stopIncarnation(number, false); });
+    std::for_each(toStart.begin(), toStart.end(), [&](std::size_t number) { startIncarnation(number); });
 }
 
 void replica_host::endDrained(instant now)
@@ -303,7 +303,7 @@
             }
         }
     }
-    std::for_each(toEnd.begin(), toEnd.end(), [&](std::size_t number) { stopLife(number, true); });
+    std::for_each(toEnd.begin(), toEnd.end(), [&](std::size_t number) { stopIncarnation(number, true); });
 }
 
 void replica_host::passEvents()
--- a/Tests/StandIns/platform/replica_host.h
+++ b/Tests/StandIns/platform/replica_host.h
@@ -88,8 +88,8 @@
         instant startsAt;
     };
 
-    void startLife(std::size_t number);
-    void stopLife(std::size_t number, bool isAnnounced);
+    void startIncarnation(std::size_t number);
+    void stopIncarnation(std::size_t number, bool isAnnounced);
     void handle(std::size_t number, http_exchange &exchange);
     void handleOrder(std::size_t number, http_exchange &exchange);
     void handleRequest(std::size_t number, http_exchange &exchange);
@@ -119,7 +119,7 @@
     replica_faults m_faults;
     event_journal m_journal;
     /// Taken before the other one.
-    std::mutex m_livesMutex;
+    std::mutex m_incarnationsMutex;
     std::mutex m_mutex;
     replica_world m_world;
     std::vector<int> m_lives;
--- a/Tests/StandIns/platform/replica_model.cpp
+++ b/Tests/StandIns/platform/replica_model.cpp
@@ -294,7 +294,7 @@
     return status;
 }
 
-void endLife(replica_world &world, stand_in_replica &replica)
+void endIncarnation(replica_world &world, stand_in_replica &replica)
 {
     note(world, "gone", replica);
     replica.isAlive = false;
--- a/Tests/StandIns/platform/replica_model.h
+++ b/Tests/StandIns/platform/replica_model.h
@@ -116,7 +116,7 @@
 /// Carries out an order; returns the status of its answer.
 int takeOrder(replica_world &world, stand_in_replica &replica, const Json::Value &order, instant now);
 /// The end of a life, with or without notice.
-void endLife(replica_world &world, stand_in_replica &replica);
+void endIncarnation(replica_world &world, stand_in_replica &replica);
 
 /// 200 where a request may wait at the replica, else the status of the refusal.
 int admissionStatus(const stand_in_replica &replica, const std::string &model);
