--- a/Benchmarks/benchControl.cpp
+++ b/Benchmarks/benchControl.cpp
@@ -71,7 +71,7 @@
     {
         m_now += period;
         for (std::size_t from = 0; from < m_states.size(); ++from) {
-            beat(m_states[from], m_now);
+            advanceHeartbeat(m_states[from], m_now);
         }
         for (std::size_t from = 0; from < m_states.size(); ++from) {
             const auto base = from / static_cast<std::size_t>(m_perDataCentre) * static_cast<std::size_t>(m_perDataCentre);
--- a/Libraries/Daemon/cluster_state.cpp
+++ b/Libraries/Daemon/cluster_state.cpp
@@ -19,11 +19,11 @@
 void cluster_state::beatNow(instant now)
 {
     const std::lock_guard lock(d->mutex);
-    beat(d->exchange, now);
+    advanceHeartbeat(d->exchange, now);
     if (!d->startedAt) {
         d->startedAt = now;
     }
-    forgetDead(d->exchange, now);
+    removeDeadDaemons(d->exchange, now);
 }
 
 bool cluster_state::setOwnFact(const std::string &name, const std::string &value)
--- a/Libraries/Daemon/instance_words.cpp
+++ b/Libraries/Daemon/instance_words.cpp
@@ -55,8 +55,8 @@
         word = factOf(exchange, *daemon, name);
     }
     for (auto origin = exchange.origins.begin(); word.empty() && origin != exchange.origins.end(); ++origin) {
-        const auto &advanced = origin->second.advanced;
-        if (advanced && now - *advanced < exchange.limits.deadAfter + observerGrace) {
+        const auto &heartbeatAdvancedAt = origin->second.heartbeatAdvancedAt;
+        if (heartbeatAdvancedAt && now - *heartbeatAdvancedAt < exchange.limits.deadAfter + observerGrace) {
             word = factOf(exchange, origin->first, name);
         }
     }
--- a/Libraries/Peers/exchange.cpp
+++ b/Libraries/Peers/exchange.cpp
@@ -18,26 +18,26 @@
     return scope == exchange_scope::data_centre || !registerName.starts_with(localRegisterPrefix);
 }
 
-/// Takes in a heartbeat. Only a rise of a heartbeat that was already known proves that the daemon runs now: a first one may
-/// be the echo of a daemon that died long ago.
-void takeHeartbeat(peer_origin &origin, std::uint64_t heartbeat, instant now)
+/// Applies a heartbeat of a known daemon. Only a rise above a heartbeat that was already known proves that the daemon runs now: the first
+/// one that arrives may be relayed state of a daemon that died long ago.
+void applyHeartbeat(peer_origin &origin, std::uint64_t heartbeat, instant now)
 {
     if (heartbeat <= origin.heartbeat) {
         return;
     }
     origin.heartbeat = heartbeat;
-    origin.advanced = now;
+    origin.heartbeatAdvancedAt = now;
 }
 
-/// The origin of this daemon in this incarnation; nothing where a newer incarnation is already known.
-peer_origin *originFor(exchange_state &state, const daemon_id &daemon, incarnation run, std::uint64_t heartbeat, instant now)
+/// Returns the state of \a daemon in incarnation \a run, and creates it if needed. Returns nullptr if a newer incarnation is already known.
+peer_origin *findOrCreateOrigin(exchange_state &state, const daemon_id &daemon, incarnation run, std::uint64_t heartbeat, instant now)
 {
     const auto found = state.origins.find(daemon);
     if (found == state.origins.end()) {
         peer_origin fresh;
         fresh.run = run;
         fresh.heartbeat = heartbeat;
-        fresh.heard = now;
+        fresh.firstSeenAt = now;
         return &state.origins.emplace(daemon, std::move(fresh)).first->second;
     }
     auto &known = found->second;
@@ -45,24 +45,24 @@
         return nullptr;
     }
     if (run > known.run) {
-        // The daemon was started anew: nothing of what its old self said holds any more.
+        // The daemon was restarted: the state of its earlier incarnation is obsolete.
         known = peer_origin();
         known.run = run;
         known.heartbeat = heartbeat;
-        known.heard = now;
-        known.advanced = now;
+        known.firstSeenAt = now;
+        known.heartbeatAdvancedAt = now;
     }
     return &known;
 }
 
-/// Somebody told of an old self of this daemon that stands above the present one, because its clock ran ahead or because both
-/// began in the same moment. Going above it lets the present self be heard. The low part of the number stays: another old self
-/// may have gone above the same one before.
-void outrank(exchange_state &state, incarnation toldRun, std::uint64_t toldHeartbeat)
+/// Raises the incarnation of this daemon above a higher one that a peer reports. That is an earlier run of this daemon whose clock ran
+/// ahead, or which started at the same time; without the raise, peers would ignore the present run. The low part of the number stays,
+/// because another earlier run may have been raised above the same incarnation before.
+void raiseOwnIncarnation(exchange_state &state, incarnation reportedRun, std::uint64_t reportedHeartbeat)
 {
     auto &own = state.origins.at(state.self);
-    if (std::tie(toldRun, toldHeartbeat) > std::tie(own.run, own.heartbeat)) {
-        own.run = makeIncarnation(toldRun.value() / incarnationStride + 1, own.run.value());
+    if (std::tie(reportedRun, reportedHeartbeat) > std::tie(own.run, own.heartbeat)) {
+        own.run = makeIncarnation(reportedRun.value() / incarnationStride + 1, own.run.value());
     }
 }
 
@@ -93,21 +93,21 @@
     return state;
 }
 
-void beat(exchange_state &state, instant now)
+void advanceHeartbeat(exchange_state &state, instant now)
 {
-    if (state.lastTick && now - *state.lastTick > state.limits.pause) {
-        // This process stood still, so the silence of the others proves nothing: the pause is not counted against them.
+    if (state.lastTick && now - *state.lastTick > state.limits.pauseThreshold) {
+        // This process was paused and could not receive heartbeats, so the pause does not count towards the peers' time limits.
         const auto gap = now - *state.lastTick;
         for (auto &[daemon, origin] : state.origins) {
-            if (origin.advanced) {
-                *origin.advanced += gap;
+            if (origin.heartbeatAdvancedAt) {
+                *origin.heartbeatAdvancedAt += gap;
             }
         }
     }
     state.lastTick = now;
     auto &own = state.origins.at(state.self);
     ++own.heartbeat;
-    own.advanced = now;
+    own.heartbeatAdvancedAt = now;
 }
 
 bool setFact(exchange_state &state, const std::string &name, const std::string &value)
@@ -135,9 +135,9 @@
 {
     for (const auto &entry : digest.origins) {
         if (entry.daemon == state.self) {
-            outrank(state, entry.run, entry.heartbeat);
+            raiseOwnIncarnation(state, entry.run, entry.heartbeat);
         } else if (const auto known = state.origins.find(entry.daemon); known != state.origins.end() && known->second.run == entry.run) {
-            takeHeartbeat(known->second, entry.heartbeat, now);
+            applyHeartbeat(known->second, entry.heartbeat, now);
         }
     }
 }
@@ -145,28 +145,28 @@
 exchange_changes applyDelta(exchange_state &state, const exchange_delta &delta, instant now)
 {
     exchange_changes changes;
-    for (const auto &told : delta.origins) {
-        if (told.daemon == state.self) {
-            outrank(state, told.run, told.heartbeat);
+    for (const auto &received : delta.origins) {
+        if (received.daemon == state.self) {
+            raiseOwnIncarnation(state, received.run, received.heartbeat);
             continue;
         }
-        auto *origin = originFor(state, told.daemon, told.run, told.heartbeat, now);
+        auto *origin = findOrCreateOrigin(state, received.daemon, received.run, received.heartbeat, now);
         if (origin == nullptr) {
             continue;
         }
-        takeHeartbeat(*origin, told.heartbeat, now);
-        if (told.since > origin->version) {
-            // Facts between the two are missing: taking the version over would hide them for ever.
+        applyHeartbeat(*origin, received.heartbeat, now);
+        if (received.since > origin->version) {
+            // The changes between the known version and the delta's base are missing. If the version were raised, no peer would send them.
             continue;
         }
-        for (const auto &fact : told.facts) {
+        for (const auto &fact : received.facts) {
             auto &known = origin->facts[fact.name];
             if (fact.version > known.version) {
                 known = fact;
                 changes.haveFactsChanged = true;
             }
         }
-        origin->version = std::max(origin->version, told.version);
+        origin->version = std::max(origin->version, received.version);
     }
     for (const auto &value : delta.registers) {
         if (setRegister(state, value)) {
@@ -176,11 +176,11 @@
     return changes;
 }
 
-void forgetDead(exchange_state &state, instant now)
+void removeDeadDaemons(exchange_state &state, instant now)
 {
     std::erase_if(state.origins, [&](const auto &entry) {
         const auto &[daemon, origin] = entry;
-        return daemon != state.self && now - origin.advanced.value_or(origin.heard) > state.limits.forgetAfter;
+        return daemon != state.self && now - origin.heartbeatAdvancedAt.value_or(origin.firstSeenAt) > state.limits.removeAfter;
     });
 }
 
@@ -203,15 +203,15 @@
 exchange_delta deltaFor(const exchange_state &state, const exchange_digest &digest, exchange_scope scope)
 {
     exchange_delta delta;
-    std::map<daemon_id, const origin_digest *> theirs;
+    std::map<daemon_id, const origin_digest *> theirOrigins;
     for (const auto &entry : digest.origins) {
-        theirs.emplace(entry.daemon, &entry);
+        theirOrigins.emplace(entry.daemon, &entry);
     }
     if (scope == exchange_scope::data_centre) {
         for (const auto &[daemon, origin] : state.origins) {
-            const auto known = theirs.find(daemon);
-            const bool isSameRun = known != theirs.end() && known->second->run == origin.run;
-            if (known != theirs.end() && known->second->run > origin.run) {
+            const auto known = theirOrigins.find(daemon);
+            const bool isSameRun = known != theirOrigins.end() && known->second->run == origin.run;
+            if (known != theirOrigins.end() && known->second->run > origin.run) {
                 continue;
             }
             const auto theirVersion = isSameRun ? known->second->version : 0;
@@ -256,10 +256,10 @@
         return peer_liveness::alive;
     }
     const auto known = state.origins.find(daemon);
-    if (known == state.origins.end() || !known->second.advanced) {
+    if (known == state.origins.end() || !known->second.heartbeatAdvancedAt) {
         return peer_liveness::unproven;
     }
-    const auto silence = now - *known->second.advanced;
+    const auto silence = now - *known->second.heartbeatAdvancedAt;
     if (silence > state.limits.deadAfter) {
         return peer_liveness::dead;
     }
--- a/Libraries/Peers/exchange.h
+++ b/Libraries/Peers/exchange.h
@@ -9,10 +9,11 @@
 #include <string>
 #include <vector>
 
-/// What daemons tell each other: soft state only, lost with the daemons. docs/design/PEERS.md.
+/// State that daemons replicate among each other by periodic anti-entropy exchanges of digests and deltas. It is soft state, kept in memory
+/// only and lost when the daemons stop. See docs/design/PEERS.md.
 namespace vetchpost {
 
-/// One named value that a daemon says of itself or of what it observes. An empty value means that it was withdrawn.
+/// A named value that a daemon publishes about itself or about what it observes. An empty value means that it was withdrawn.
 struct peer_fact
 {
     std::string name;
@@ -20,7 +21,7 @@
     std::uint64_t version = 0;
 };
 
-/// A value with one order over all daemons: of two, the one with the higher order holds. Its origin does not matter.
+/// A named value that any daemon may write. Versions are ordered by (major, minor); the highest version wins, whichever daemon wrote it.
 struct shared_register
 {
     std::string name;
@@ -29,40 +30,45 @@
     std::string value;
 };
 
-/// Registers of this prefix stay inside the data centre.
+/// Registers whose names have this prefix are not sent to other data centres.
 constexpr auto localRegisterPrefix = "local/";
 
-/// All that is known of one daemon of the own data centre.
+/// What is known of one daemon of this data centre, and of what it published.
 struct peer_origin
 {
     incarnation run;
     std::uint64_t heartbeat = 0;
+    /// Raised with each change of the daemon's facts; all facts up to this version are known.
     std::uint64_t version = 0;
     std::map<std::string, peer_fact> facts;
-    /// When the heartbeat was last seen to rise; nothing where it only was heard of.
-    std::optional<instant> advanced;
-    /// When it was first heard of in this incarnation.
-    instant heard;
+    /// When the heartbeat was last seen to rise, or a newer incarnation was first seen; nothing before either.
+    std::optional<instant> heartbeatAdvancedAt;
+    /// When this incarnation of the daemon first became known.
+    instant firstSeenAt;
 };
 
+/// Time limits for judging whether a daemon is alive, in milliseconds.
 struct liveness_limits
 {
+    /// A daemon is suspect when its heartbeat has not risen for longer than this time.
     duration suspectAfter{6000};
+    /// A daemon is dead when its heartbeat has not risen for longer than this time.
     duration deadAfter{15000};
-    /// A dead daemon is forgotten after this time.
-    duration forgetAfter{600000};
-    /// A gap between two of the own ticks that counts as a pause of the own process.
-    duration pause{3000};
+    /// The state of a daemon is removed when its heartbeat has not risen for longer than this time.
+    duration removeAfter{600000};
+    /// A longer gap between two ticks of this daemon means that its own process was paused.
+    duration pauseThreshold{3000};
 };
 
 enum class peer_liveness {
-    /// Only heard of: its heartbeat has not risen yet.
+    /// Known through other daemons only: its heartbeat has not been seen to rise yet.
     unproven,
     alive,
     suspect,
     dead
 };
 
+/// All replicated state that this daemon knows.
 struct exchange_state
 {
     daemon_id self;
@@ -72,6 +78,7 @@
     std::optional<instant> lastTick;
 };
 
+/// The versions that a daemon knows of one daemon's state.
 struct origin_digest
 {
     daemon_id daemon;
@@ -80,6 +87,7 @@
     std::uint64_t version = 0;
 };
 
+/// The version that a daemon knows of one register.
 struct register_digest
 {
     std::string name;
@@ -87,26 +95,27 @@
     std::uint64_t minor = 0;
 };
 
-/// What a daemon knows, without the values.
+/// The versions of all state that a daemon knows, without the values.
 struct exchange_digest
 {
     std::vector<origin_digest> origins;
     std::vector<register_digest> registers;
 };
 
+/// The changes of one daemon's facts over a range of versions.
 struct origin_delta
 {
     daemon_id daemon;
     incarnation run;
     std::uint64_t heartbeat = 0;
-    /// The facts are all that changed after this version ...
+    /// The version that the changes build on: `facts` holds every fact that changed after it.
     std::uint64_t since = 0;
-    /// ... up to this one.
+    /// The version that the changes lead to.
     std::uint64_t version = 0;
     std::vector<peer_fact> facts;
 };
 
-/// What one daemon knows and another does not.
+/// The state that one daemon knows and another lacks.
 struct exchange_delta
 {
     std::vector<origin_delta> origins;
@@ -118,10 +127,11 @@
     }
 };
 
-/// What a delta changed.
+/// What the application of a delta changed.
 struct exchange_changes
 {
     bool haveFactsChanged = false;
+    /// The names of the registers that changed.
     std::vector<std::string> registers;
 
     bool isEmpty() const
@@ -130,42 +140,50 @@
     }
 };
 
-/// Which part of the state goes to a peer: all of it inside a data centre, only wide registers outside.
+/// Which part of the state is sent to a peer: all of it inside the data centre; to other data centres (`wide`) only the registers that are
+/// not local.
 enum class exchange_scope { data_centre, wide };
 
-/// The number of one run of a daemon: when it started in its high part, and a number of its own in its low part.
+/// Number of unique ids per start time in an incarnation number.
 constexpr std::uint64_t incarnationStride = 65536;
+/// Returns the number of one run of a daemon: its start time in the high part, and \a unique, which tells runs with the same start time
+/// apart, in the low part.
 incarnation makeIncarnation(std::uint64_t startedAt, std::uint64_t unique);
 
+/// Returns the state of a daemon that knows only itself.
 exchange_state makeExchange(const daemon_id &self, incarnation run, const liveness_limits &limits);
 
 // Commands.
 
-/// Raises the own heartbeat and forgives the peers a pause of the own process.
-void beat(exchange_state &state, instant now);
-/// Sets one of the own facts; false where it already had this value.
+/// Increments this daemon's heartbeat. After a pause of its own process, also extends the time limits of all peers by the pause.
+void advanceHeartbeat(exchange_state &state, instant now);
+/// Publishes a fact of this daemon; an empty value withdraws it. Returns false if it already had this value.
 bool setFact(exchange_state &state, const std::string &name, const std::string &value);
-/// Sets a register where it is newer than the known one; false where it is not.
+/// Sets a register if it is unknown or \a value is newer than the known version; returns whether it was set.
 bool setRegister(exchange_state &state, const shared_register &value);
-/// Takes in the heartbeats of a digest.
+/// Applies the heartbeats of a digest to the daemons that are already known in the same incarnation.
 void applyDigest(exchange_state &state, const exchange_digest &digest, instant now);
-/// Takes in a delta. What is older than the known state changes nothing, however often and in whatever order it comes.
+/// Applies a delta. Deltas may arrive repeatedly and in any order: whatever is not newer than the known state is ignored.
 exchange_changes applyDelta(exchange_state &state, const exchange_delta &delta, instant now);
-/// Forgets daemons that have long been dead.
-void forgetDead(exchange_state &state, instant now);
+/// Removes the state of other daemons whose heartbeat has not risen for longer than `removeAfter`, or that never rose in that time since
+/// they became known.
+void removeDeadDaemons(exchange_state &state, instant now);
 
 // Queries.
 
+/// Returns the digest of the part of the state that is in \a scope.
 exchange_digest digestOf(const exchange_state &state, exchange_scope scope);
-/// What the sender of \a digest lacks.
+/// Returns the part of the state in \a scope that the sender of \a digest lacks.
 exchange_delta deltaFor(const exchange_state &state, const exchange_digest &digest, exchange_scope scope);
-/// Whether the sender of \a digest knows something that is unknown here.
+/// Whether the sender of \a digest knows state that this daemon lacks.
 bool isBehind(const exchange_state &state, const exchange_digest &digest);
+/// Judges a daemon by the time since its heartbeat last rose; this daemon itself is always alive.
 peer_liveness livenessOf(const exchange_state &state, const daemon_id &daemon, instant now);
-/// The value of a fact; empty where it is unknown or withdrawn.
+/// Returns the value of a daemon's fact; empty if it is unknown or withdrawn.
 std::string factOf(const exchange_state &state, const daemon_id &daemon, const std::string &name);
+/// Returns nullptr if the register is unknown.
 const shared_register *findRegister(const exchange_state &state, const std::string &name);
-/// The daemons of the data centre that are alive or suspect, the own one too, in the order of their names.
+/// Returns the daemons of this data centre that are alive or suspect, including this one, sorted by id.
 std::vector<daemon_id> liveMembers(const exchange_state &state, instant now);
 
 } // namespace vetchpost
--- a/Libraries/Peers/exchange_codec.cpp
+++ b/Libraries/Peers/exchange_codec.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-Json::Value arrayOf(std::initializer_list<Json::Value> values)
+Json::Value makeArray(std::initializer_list<Json::Value> values)
 {
     Json::Value array(Json::arrayValue);
     for (const auto &value : values) {
@@ -14,7 +14,7 @@
     return array;
 }
 
-Json::Value numberOf(std::uint64_t value)
+Json::Value toJsonNumber(std::uint64_t value)
 {
     return Json::UInt64(value);
 }
@@ -41,13 +41,14 @@
 {
     Json::Value origins(Json::arrayValue);
     for (const auto &entry : digest.origins) {
-        origins.append(arrayOf({entry.daemon.value(), numberOf(entry.run.value()), numberOf(entry.heartbeat), numberOf(entry.version)}));
+        origins.append(
+            makeArray({entry.daemon.value(), toJsonNumber(entry.run.value()), toJsonNumber(entry.heartbeat), toJsonNumber(entry.version)}));
     }
     Json::Value registers(Json::arrayValue);
     for (const auto &entry : digest.registers) {
-        registers.append(arrayOf({entry.name, numberOf(entry.major), numberOf(entry.minor)}));
+        registers.append(makeArray({entry.name, toJsonNumber(entry.major), toJsonNumber(entry.minor)}));
     }
-    return arrayOf({origins, registers});
+    return makeArray({origins, registers});
 }
 
 exchange_digest exchangeDigestFrom(const Json::Value &json)
@@ -73,20 +74,20 @@
     for (const auto &origin : delta.origins) {
         Json::Value facts(Json::arrayValue);
         for (const auto &fact : origin.facts) {
-            facts.append(arrayOf({fact.name, fact.value, numberOf(fact.version)}));
+            facts.append(makeArray({fact.name, fact.value, toJsonNumber(fact.version)}));
         }
-        origins.append(arrayOf({origin.daemon.value(),
-                                numberOf(origin.run.value()),
-                                numberOf(origin.heartbeat),
-                                numberOf(origin.since),
-                                numberOf(origin.version),
-                                facts}));
+        origins.append(makeArray({origin.daemon.value(),
+                                  toJsonNumber(origin.run.value()),
+                                  toJsonNumber(origin.heartbeat),
+                                  toJsonNumber(origin.since),
+                                  toJsonNumber(origin.version),
+                                  facts}));
     }
     Json::Value registers(Json::arrayValue);
     for (const auto &value : delta.registers) {
-        registers.append(arrayOf({value.name, numberOf(value.major), numberOf(value.minor), value.value}));
+        registers.append(makeArray({value.name, toJsonNumber(value.major), toJsonNumber(value.minor), value.value}));
     }
-    return arrayOf({origins, registers});
+    return makeArray({origins, registers});
 }
 
 exchange_delta exchangeDeltaFrom(const Json::Value &json)
--- a/Libraries/Peers/exchange_codec.h
+++ b/Libraries/Peers/exchange_codec.h
@@ -6,8 +6,8 @@
 
 namespace vetchpost {
 
-// The forms on the wire are arrays, to keep the steady traffic small; docs/INTERFACES.md describes them. What cannot be
-// read of a message is left out, which the next exchange heals.
+// Messages are encoded as JSON arrays, which keeps the steady traffic small; docs/INTERFACES.md describes them. Decoding skips entries that
+// are malformed; a later exchange sends them again.
 
 Json::Value toJson(const exchange_digest &digest);
 exchange_digest exchangeDigestFrom(const Json::Value &json);
--- a/Libraries/Peers/exchange_targets.cpp
+++ b/Libraries/Peers/exchange_targets.cpp
@@ -7,17 +7,18 @@
 
 namespace {
 
-/// One round in so many asks a lost peer; one in so many asks another data centre without being the coordinator, so that
-/// a data centre whose coordinator died still hears of the others.
-constexpr unsigned lostPeerRounds = 5;
-constexpr unsigned remoteRounds = 20;
+/// On average, one round in this many calls a lost peer.
+constexpr unsigned roundsPerLostPeer = 5;
+/// On average, one round in this many calls each other data centre from a daemon that is not the coordinator. This keeps a data centre
+/// whose coordinator died in contact with the others.
+constexpr unsigned roundsPerRemoteExchange = 20;
 
 bool isOneIn(unsigned count, std::mt19937_64 &random)
 {
     return std::uniform_int_distribution<unsigned>(1, count)(random) == 1;
 }
 
-const endpoint &anyOf(const std::vector<endpoint> &addresses, std::mt19937_64 &random)
+const endpoint &pickRandom(const std::vector<endpoint> &addresses, std::mt19937_64 &random)
 {
     return addresses[std::uniform_int_distribution<std::size_t>(0, addresses.size() - 1)(random)];
 }
@@ -28,14 +29,14 @@
 {
     std::vector<peer_address> targets;
     if (!candidates.local.empty()) {
-        targets.push_back({anyOf(candidates.local, random), exchange_scope::data_centre});
+        targets.push_back({pickRandom(candidates.local, random), exchange_scope::data_centre});
     }
-    if (!candidates.lost.empty() && (candidates.local.empty() || isOneIn(lostPeerRounds, random))) {
-        targets.push_back({anyOf(candidates.lost, random), exchange_scope::data_centre});
+    if (!candidates.lost.empty() && (candidates.local.empty() || isOneIn(roundsPerLostPeer, random))) {
+        targets.push_back({pickRandom(candidates.lost, random), exchange_scope::data_centre});
     }
     for (const auto &dataCentre : candidates.remote) {
-        if (!dataCentre.empty() && (candidates.isCoordinator || isOneIn(remoteRounds, random))) {
-            targets.push_back({anyOf(dataCentre, random), exchange_scope::wide});
+        if (!dataCentre.empty() && (candidates.isCoordinator || isOneIn(roundsPerRemoteExchange, random))) {
+            targets.push_back({pickRandom(dataCentre, random), exchange_scope::wide});
         }
     }
     return targets;
--- a/Libraries/Peers/exchange_targets.h
+++ b/Libraries/Peers/exchange_targets.h
@@ -9,28 +9,30 @@
 
 namespace vetchpost {
 
-/// A peer that could be called.
+/// A peer to exchange with, and which part of the state to send to it.
 struct peer_address
 {
     endpoint address;
     exchange_scope scope = exchange_scope::data_centre;
 };
 
-/// All peers that a round of exchanges chooses from.
+/// The peers that a round of exchanges chooses from.
 struct peer_candidates
 {
-    /// Live daemons of the own data centre, without the own one.
+    /// The live daemons of this data centre, without this one.
     std::vector<endpoint> local;
-    /// Daemons of other data centres, one list each.
+    /// The daemons of other data centres, one list per data centre.
     std::vector<std::vector<endpoint>> remote;
-    /// The first contacts of the settings, and peers that seem dead: asked now and then, so that a cut that has healed is
-    /// found and two halves that lost each other meet again.
+    /// Seed peers of the settings, and peers that seem dead. They are called now and then, so that the two sides of a network partition
+    /// find each other again after it has healed.
     std::vector<endpoint> lost;
-    /// Whether this daemon speaks for its data centre.
+    /// Whether this daemon is the coordinator of its data centre, which calls the other data centres in every round.
     bool isCoordinator = false;
 };
 
-/// Chooses whom to exchange with in one round.
+/// Chooses the peers for one round at random: a live daemon of this data centre; a lost peer, in some rounds, or in every round while no
+/// other daemon of this data centre is live; and a daemon of each other data centre, in every round for the coordinator and in some rounds
+/// for other daemons.
 std::vector<peer_address> chooseExchangeTargets(const peer_candidates &candidates, std::mt19937_64 &random);
 
 } // namespace vetchpost
--- a/Libraries/Peers/peer_rpc.cpp
+++ b/Libraries/Peers/peer_rpc.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// The library's listener: the messages come from the daemon's HTTP server instead.
+/// A connector that the library requires but that does not listen: messages arrive through the daemon's HTTP server and are passed to the
+/// handler directly.
 class message_connector : public jsonrpc::AbstractServerConnector
 {
 public:
--- a/Libraries/Peers/peer_rpc.h
+++ b/Libraries/Peers/peer_rpc.h
@@ -8,19 +8,19 @@
 #include <string>
 #include <vector>
 
-// This header and its source are C++14: the JSON-RPC library's headers carry exception specifications that newer
-// standards have removed.
+// This header and its source must compile as C++14: the JSON-RPC library's headers use dynamic exception specifications, which C++17
+// removed.
 
 namespace vetchpost {
 
-/// One method of the interface between daemons.
+/// A method of the JSON-RPC interface between daemons.
 struct peer_method
 {
     std::string name;
     std::function<Json::Value(const Json::Value &parameters)> call;
 };
 
-/// Answers JSON-RPC calls by the methods it was given.
+/// Dispatches JSON-RPC calls to the given methods.
 class peer_rpc_server
 {
 public:
@@ -29,7 +29,7 @@
     peer_rpc_server(const peer_rpc_server &) = delete;
     peer_rpc_server &operator=(const peer_rpc_server &) = delete;
 
-    /// The reply to one message; an error reply where the message is no valid call.
+    /// Handles one message and returns the reply, which is an error reply if the message is not a valid call.
     std::string reply(const std::string &message);
 
 private:
@@ -37,10 +37,10 @@
     std::unique_ptr<private_data> d;
 };
 
-/// Carries one message to a peer and brings back its reply; false where that failed.
+/// Sends a message to a peer and receives the reply; returns false on failure.
 using peer_transport = std::function<bool(const std::string &message, std::string &reply)>;
 
-/// Calls a method of a peer; false where there was no usable reply.
+/// Calls a method of a peer and sets \a result; returns false if no valid reply arrived.
 bool callPeerMethod(const peer_transport &transport, const std::string &method, const Json::Value &parameters, Json::Value &result);
 
 } // namespace vetchpost
--- a/Tests/Fakes/fake_key_value_store.h
+++ b/Tests/Fakes/fake_key_value_store.h
@@ -10,10 +10,11 @@
 
 namespace vetchpost::test {
 
-/// The platform's key-value service as a plain struct: keys with revisions, leases that lapse. Used by the fuzzers and by the
-/// stand-in process.
+/// In-memory model of the platform's key-value service: keys with revisions, compare-and-swap, and leases that expire. The fuzz tests and
+/// the stand-in processes use it.
 struct fake_key_value_store
 {
+    /// A key's value, with the revision of its last change. The entry is removed when its lease expires; the default lease stands for none.
     struct stored_entry
     {
         std::string value;
@@ -29,16 +30,18 @@
 
     std::map<std::string, stored_entry> entries;
     std::map<lease_number, stored_lease> leases;
-    /// Every change in its order, deletions with an empty value.
+    /// All changes in the order in which they were made; a deletion has an empty value.
     std::vector<key_value_entry> changes;
     std::uint64_t lastRevision = 0;
     std::uint64_t lastLease = 0;
 
-    void note(const std::string &key, const std::string &value)
+    /// Appends a change of \a key to the history, at the current revision.
+    void recordChange(const std::string &key, const std::string &value)
     {
         changes.push_back({key, value, key_revision(lastRevision)});
     }
 
+    /// Ends the leases that have expired by \a now, and removes the entries that were attached to them.
     void expire(instant now)
     {
         std::erase_if(leases, [&](const auto &lease) { return lease.second.ends <= now; });
@@ -46,7 +49,7 @@
             const auto lease = entry->second.lease;
             if (lease != lease_number() && !leases.contains(lease)) {
                 ++lastRevision;
-                note(entry->first, "");
+                recordChange(entry->first, "");
                 entry = entries.erase(entry);
             } else {
                 ++entry;
@@ -54,12 +57,15 @@
         }
     }
 
+    /// Returns the entry, or one with an empty value and the default revision if there is none.
     key_value_entry get(const std::string &key) const
     {
         const auto found = entries.find(key);
         return found == entries.end() ? key_value_entry{key, {}, {}} : key_value_entry{key, found->second.value, found->second.changed};
     }
 
+    /// Writes \a value if the key has the expected revision and the lease, if one is given, exists; otherwise returns a conflict and writes
+    /// nothing.
     swap_result swap(const std::string &key, key_revision expected, const std::string &value, lease_number lease = {})
     {
         if (get(key).changed != expected || (lease != lease_number() && !leases.contains(lease))) {
@@ -67,10 +73,11 @@
         }
         const key_revision changed(++lastRevision);
         entries[key] = {value, changed, lease};
-        note(key, value);
+        recordChange(key, value);
         return {swap_outcome::applied, changed};
     }
 
+    /// Grants a lease that expires after \a time unless it is renewed.
     lease_number grant(duration time, instant now)
     {
         const lease_number lease(++lastLease);
@@ -78,6 +85,7 @@
         return lease;
     }
 
+    /// Extends a lease by its full time from \a now; returns false if there is no such lease.
     bool renew(lease_number lease, instant now)
     {
         const auto found = leases.find(lease);
--- a/Tests/Fakes/fuzz.h
+++ b/Tests/Fakes/fuzz.h
@@ -9,20 +9,22 @@
 
 namespace vetchpost::test {
 
-/// How many steps a fuzzer takes: the given number in CI, more when VETCHPOST_FUZZ_STEPS asks for them.
+/// Returns the number of steps that a fuzz test runs: the value of the environment variable VETCHPOST_FUZZ_STEPS if it is set, otherwise
+/// \a inCi.
 inline int fuzzSteps(int inCi)
 {
-    const auto *asked = std::getenv("VETCHPOST_FUZZ_STEPS");
-    return asked == nullptr ? inCi : std::atoi(asked);
+    const auto *requested = std::getenv("VETCHPOST_FUZZ_STEPS");
+    return requested == nullptr ? inCi : std::atoi(requested);
 }
 
-/// Checks a property with a fixed number of cases of a fixed length; the seed comes from RC_PARAMS.
+/// Checks a RapidCheck property with the given number of cases and fails the test with the counterexample. The random seed comes from the
+/// environment variable RC_PARAMS.
 template <class Property>
 void checkProperty(const std::string &name, int cases, Property property)
 {
     auto parameters = rc::detail::configuration().testParams;
     parameters.maxSuccess = cases;
-    // A case of many steps takes too long to shrink; the seed and the step are told instead.
+    // Shrinking a case of many steps takes too long. The failure message gives the seed and the step instead.
     parameters.disableShrinking = true;
     const auto result = rc::detail::checkTestable(property, rc::detail::TestMetadata{name, name}, parameters);
     if (!result.template is<rc::detail::SuccessResult>()) {
--- a/Tests/Peers/testExchangeFuzz.cpp
+++ b/Tests/Peers/testExchangeFuzz.cpp
@@ -26,43 +26,43 @@
     out << '{' << step.kind << ',' << step.subject << ',' << step.amount << '}';
 }
 
-constexpr int daemons = 5;
+constexpr int daemonCount = 5;
 
-/// Daemons that exchange over a network that loses, doubles, delays and reorders. The oracle keeps what each daemon last said of
-/// itself, and the highest register value that anybody published.
-class exchange_world
+/// Simulates daemons that exchange state over a network that loses, duplicates, delays and reorders messages. The oracle holds the facts
+/// that each daemon last published and the highest register version that each daemon has known.
+class exchange_simulation
 {
 public:
-    exchange_world()
+    exchange_simulation()
     {
-        for (int i = 0; i < daemons; ++i) {
+        for (int i = 0; i < daemonCount; ++i) {
             m_states.push_back(makeExchange(daemon_id(fmt::format("d{}", i)), makeIncarnation(1, 60000), liveness_limits()));
-            m_said.emplace_back();
-            m_seenMajor.push_back(0);
+            m_ownFacts.emplace_back();
+            m_highestMajor.push_back(0);
         }
     }
 
     void apply(const exchange_step &step)
     {
         m_now += duration(step.amount % 3000);
-        const auto from = static_cast<std::size_t>(step.subject) % daemons;
-        const auto to = static_cast<std::size_t>(step.amount) % daemons;
+        const auto from = static_cast<std::size_t>(step.subject) % daemonCount;
+        const auto to = static_cast<std::size_t>(step.amount) % daemonCount;
         switch (step.kind % 8) {
         case 0:
-            say(from, step.amount % 4, std::to_string(step.amount % 100));
+            publishFact(from, step.amount % 4, std::to_string(step.amount % 100));
             break;
         case 1:
-            publish(from);
+            publishConfiguration(from);
             break;
         case 2:
             restart(from, step.amount);
             break;
         case 3:
-            replayOld(to, step.amount);
+            replayDelta(to, step.amount);
             break;
         case 4:
-            beat(m_states[from], m_now);
-            forgetDead(m_states[from], m_now);
+            advanceHeartbeat(m_states[from], m_now);
+            removeDeadDaemons(m_states[from], m_now);
             break;
         default:
             if (from != to) {
@@ -73,14 +73,14 @@
         check();
     }
 
-    /// Ends all faults: after a few rounds everybody knows what everybody says of itself.
+    /// Ends all faults and checks that after a few rounds each daemon knows the facts of every daemon and the newest configuration.
     void finish()
     {
         for (int round = 0; round < 12; ++round) {
             m_now += duration(1000);
-            for (std::size_t from = 0; from < daemons; ++from) {
-                beat(m_states[from], m_now);
-                for (std::size_t to = 0; to < daemons; ++to) {
+            for (std::size_t from = 0; from < daemonCount; ++from) {
+                advanceHeartbeat(m_states[from], m_now);
+                for (std::size_t to = 0; to < daemonCount; ++to) {
                     if (from != to) {
                         exchange(from, to, false);
                     }
@@ -88,26 +88,26 @@
             }
         }
         check();
-        for (std::size_t knower = 0; knower < daemons; ++knower) {
-            for (std::size_t origin = 0; origin < daemons; ++origin) {
-                for (const auto &[name, value] : m_said[origin]) {
-                    if (factOf(m_states[knower], m_states[origin].self, name) != value) {
+        for (std::size_t observer = 0; observer < daemonCount; ++observer) {
+            for (std::size_t origin = 0; origin < daemonCount; ++origin) {
+                for (const auto &[name, value] : m_ownFacts[origin]) {
+                    if (factOf(m_states[observer], m_states[origin].self, name) != value) {
                         breakRule(fmt::format("d{} does not know that d{} says {}={}: {} | {}",
-                                              knower,
+                                              observer,
                                               origin,
                                               name,
                                               value,
-                                              describe(knower, origin),
+                                              describe(observer, origin),
                                               describe(origin, origin)));
                     }
                 }
-                if (livenessOf(m_states[knower], m_states[origin].self, m_now) != peer_liveness::alive) {
-                    breakRule(fmt::format("d{} takes d{} for not alive", knower, origin));
+                if (livenessOf(m_states[observer], m_states[origin].self, m_now) != peer_liveness::alive) {
+                    breakRule(fmt::format("d{} takes d{} for not alive", observer, origin));
                 }
             }
-            // What only a daemon knew that was started anew is gone; the highest that is left must be known to all.
-            if (majorAt(knower) != *std::max_element(m_seenMajor.begin(), m_seenMajor.end())) {
-                breakRule(fmt::format("d{} does not know the newest configuration", knower));
+            // A version that only a restarted daemon knew is lost; the highest remaining one must be known to all.
+            if (majorAt(observer) != *std::max_element(m_highestMajor.begin(), m_highestMajor.end())) {
+                breakRule(fmt::format("d{} does not know the newest configuration", observer));
             }
         }
     }
@@ -125,61 +125,61 @@
         }
     }
 
-    void say(std::size_t daemon, int name, const std::string &value)
+    void publishFact(std::size_t daemon, int name, const std::string &value)
     {
         const auto key = fmt::format("f{}", name);
         setFact(m_states[daemon], key, value);
-        m_said[daemon][key] = value;
+        m_ownFacts[daemon][key] = value;
     }
 
-    void publish(std::size_t daemon)
+    void publishConfiguration(std::size_t daemon)
     {
         ++m_published;
         setRegister(m_states[daemon], {"configuration", m_published, 0, fmt::format("v{}", m_published)});
     }
 
-    /// The process is started anew, with a clock that may have fallen behind its last run's.
+    /// Restarts the daemon's process, with a clock that may be behind that of its previous run.
     void restart(std::size_t daemon, int amount)
     {
-        const auto run = makeIncarnation(static_cast<std::uint64_t>(amount) % 50, static_cast<std::uint64_t>(m_births) + 1);
+        const auto run = makeIncarnation(static_cast<std::uint64_t>(amount) % 50, static_cast<std::uint64_t>(m_restarts) + 1);
         m_states[daemon] = makeExchange(m_states[daemon].self, run, liveness_limits());
-        m_said[daemon].clear();
-        m_seenMajor[daemon] = 0;
-        m_seenRuns[daemon].clear();
-        // It must not take up the name with nothing to say, or nobody could tell a lost fact from none.
-        say(daemon, 0, fmt::format("born{}", ++m_births));
+        m_ownFacts[daemon].clear();
+        m_highestMajor[daemon] = 0;
+        m_latestRuns[daemon].clear();
+        // The new run publishes a fact at once: without one, a lost fact could not be told from one that never existed.
+        publishFact(daemon, 0, fmt::format("born{}", ++m_restarts));
     }
 
     void exchange(std::size_t from, std::size_t to, bool isReplyLost)
     {
-        const auto question = exchangeDigestFrom(toJson(digestOf(m_states[from], exchange_scope::data_centre)));
-        applyDigest(m_states[to], question, m_now);
-        const auto forward = exchangeDeltaFrom(toJson(deltaFor(m_states[to], question, exchange_scope::data_centre)));
-        const auto answer = digestOf(m_states[to], exchange_scope::data_centre);
-        keep(forward);
+        const auto requestDigest = exchangeDigestFrom(toJson(digestOf(m_states[from], exchange_scope::data_centre)));
+        applyDigest(m_states[to], requestDigest, m_now);
+        const auto forward = exchangeDeltaFrom(toJson(deltaFor(m_states[to], requestDigest, exchange_scope::data_centre)));
+        const auto replyDigest = digestOf(m_states[to], exchange_scope::data_centre);
+        recordDelta(forward);
         if (isReplyLost) {
             return;
         }
-        applyDigest(m_states[from], answer, m_now);
+        applyDigest(m_states[from], replyDigest, m_now);
         applyDelta(m_states[from], forward, m_now);
-        const auto back = deltaFor(m_states[from], answer, exchange_scope::data_centre);
-        keep(back);
-        applyDelta(m_states[to], back, m_now);
+        const auto returnDelta = deltaFor(m_states[from], replyDigest, exchange_scope::data_centre);
+        recordDelta(returnDelta);
+        applyDelta(m_states[to], returnDelta, m_now);
     }
 
-    void keep(const exchange_delta &delta)
+    void recordDelta(const exchange_delta &delta)
     {
-        m_old.push_back(delta);
-        if (m_old.size() > 40) {
-            m_old.erase(m_old.begin());
+        m_sentDeltas.push_back(delta);
+        if (m_sentDeltas.size() > 40) {
+            m_sentDeltas.erase(m_sentDeltas.begin());
         }
     }
 
-    /// A message of long ago arrives again, or arrives at somebody else.
-    void replayOld(std::size_t to, int amount)
+    /// Delivers an old message again, possibly to another daemon than before.
+    void replayDelta(std::size_t to, int amount)
     {
-        if (!m_old.empty()) {
-            applyDelta(m_states[to], m_old[static_cast<std::size_t>(amount) % m_old.size()], m_now);
+        if (!m_sentDeltas.empty()) {
+            applyDelta(m_states[to], m_sentDeltas[static_cast<std::size_t>(amount) % m_sentDeltas.size()], m_now);
         }
     }
 
@@ -189,10 +189,10 @@
         return value == nullptr ? 0 : value->major;
     }
 
-    std::string describe(std::size_t knower, std::size_t origin) const
+    std::string describe(std::size_t observer, std::size_t origin) const
     {
-        const auto found = m_states[knower].origins.find(m_states[origin].self);
-        if (found == m_states[knower].origins.end()) {
+        const auto found = m_states[observer].origins.find(m_states[origin].self);
+        if (found == m_states[observer].origins.end()) {
             return "unknown";
         }
         const auto &known = found->second;
@@ -205,25 +205,25 @@
 
     void check()
     {
-        for (std::size_t i = 0; i < daemons; ++i) {
+        for (std::size_t i = 0; i < daemonCount; ++i) {
             const auto *value = findRegister(m_states[i], "configuration");
             const auto major = majorAt(i);
-            if (major < m_seenMajor[i]) {
+            if (major < m_highestMajor[i]) {
                 breakRule(fmt::format("the configuration reverted at d{}", i));
             }
             if (value != nullptr && value->value != fmt::format("v{}", value->major)) {
                 breakRule("a configuration has another's text");
             }
-            m_seenMajor[i] = major;
+            m_highestMajor[i] = major;
             for (const auto &[daemon, origin] : m_states[i].origins) {
-                auto &seen = m_seenRuns[i][daemon];
-                if (origin.run < seen) {
+                auto &latestRun = m_latestRuns[i][daemon];
+                if (origin.run < latestRun) {
                     breakRule(fmt::format("d{} went back to an old self of {}", i, daemon.value()));
                 }
-                seen = origin.run;
+                latestRun = origin.run;
             }
-            for (const auto &[name, said] : m_said[i]) {
-                if (factOf(m_states[i], m_states[i].self, name) != said) {
+            for (const auto &[name, ownValue] : m_ownFacts[i]) {
+                if (factOf(m_states[i], m_states[i].self, name) != ownValue) {
                     breakRule(fmt::format("d{} forgot what it says of itself", i));
                 }
             }
@@ -231,12 +231,12 @@
     }
 
     std::vector<exchange_state> m_states;
-    std::vector<std::map<std::string, std::string>> m_said;
-    std::vector<std::uint64_t> m_seenMajor;
-    std::array<std::map<daemon_id, incarnation>, daemons> m_seenRuns;
-    std::vector<exchange_delta> m_old;
+    std::vector<std::map<std::string, std::string>> m_ownFacts;
+    std::vector<std::uint64_t> m_highestMajor;
+    std::array<std::map<daemon_id, incarnation>, daemonCount> m_latestRuns;
+    std::vector<exchange_delta> m_sentDeltas;
     std::uint64_t m_published = 0;
-    int m_births = 0;
+    int m_restarts = 0;
     instant m_now{duration(1000000)};
     std::string m_violation;
 };
@@ -247,27 +247,27 @@
 rc::Gen<exchange_step> anyStep()
 {
     return rc::gen::build<exchange_step>(rc::gen::set(&exchange_step::kind, rc::gen::inRange(0, 12)),
-                                         rc::gen::set(&exchange_step::subject, rc::gen::inRange(0, daemons)),
+                                         rc::gen::set(&exchange_step::subject, rc::gen::inRange(0, daemonCount)),
                                          rc::gen::set(&exchange_step::amount, rc::gen::inRange(0, 60000)));
 }
 
 } // namespace
 
-TEST_CASE("What daemons say of themselves reaches all, and nothing ever reverts", "[fuzz]")
+TEST_CASE("The facts that daemons publish reach all daemons, and no state reverts to an older version", "[fuzz]")
 {
     int steps = 0;
     const auto property = [&steps] {
         const auto plan = *rc::gen::resize(rc::kNominalSize, rc::gen::container<std::vector<exchange_step>>(stepsPerCase, anyStep()));
-        exchange_world world;
+        exchange_simulation simulation;
         for (const auto &step : plan) {
-            world.apply(step);
+            simulation.apply(step);
             ++steps;
         }
-        if (world.violation().empty()) {
-            world.finish();
+        if (simulation.violation().empty()) {
+            simulation.finish();
         }
-        if (!world.violation().empty()) {
-            RC_FAIL(world.violation() + " (step " + std::to_string(steps) + ")");
+        if (!simulation.violation().empty()) {
+            RC_FAIL(simulation.violation() + " (step " + std::to_string(steps) + ")");
         }
     };
     checkProperty("exchange", fuzzSteps(casesInCi * stepsPerCase) / stepsPerCase, property);
--- a/Tests/PlatformAdapter/testPlatformDialect.cpp
+++ b/Tests/PlatformAdapter/testPlatformDialect.cpp
@@ -26,13 +26,13 @@
  "ColdLeftMs":0,"Phase":"combined","Models":[{"Name":"m1","Version":1,"Adapters":[]}],"Seq":4,"Domain":"ikeja-d0","Staged":["m2"],
  "group":{"Name":"g7","epoch":12,"rank":1,"State":"joining"}})";
 
-bool has(const std::vector<http_header> &headers, const std::string &name, const std::string &value)
+bool hasHeader(const std::vector<http_header> &headers, const std::string &name, const std::string &value)
 {
     return std::any_of(
         headers.begin(), headers.end(), [&](const http_header &header) { return header.name == name && header.value == value; });
 }
 
-bool hasName(const std::vector<http_header> &headers, const std::string &name)
+bool hasHeaderNamed(const std::vector<http_header> &headers, const std::string &name)
 {
     return std::any_of(headers.begin(), headers.end(), [&](const http_header &header) { return header.name == name; });
 }
@@ -44,7 +44,7 @@
 
 } // namespace
 
-TEST_CASE("The platform's configuration is decoded into the product's types")
+TEST_CASE("A configuration of the platform is decoded into the product's types")
 {
     const platform_dialect dialect;
     reason why;
@@ -76,7 +76,7 @@
     CHECK_FALSE(configuration->organisations->at(1).priority);
 }
 
-TEST_CASE("A value that is no configuration is refused with a reason")
+TEST_CASE("An invalid configuration or replica entry is rejected with a reason")
 {
     const platform_dialect dialect;
     for (const auto *text : {"", "[]", "{", "{\"Routes\":5}", "{\"Routes\":[{\"Name\":\"r\",\"RouteType\":\"odd\"}]}"}) {
@@ -89,7 +89,7 @@
     CHECK_FALSE(dialect.readReplica(instance_id("i"), "no json", why));
 }
 
-TEST_CASE("A replica's entry is decoded with its place in a group")
+TEST_CASE("A replica's entry is decoded with its group membership")
 {
     const platform_dialect dialect;
     reason why;
@@ -107,7 +107,7 @@
     CHECK_FALSE(replica->isDraining);
 }
 
-TEST_CASE("A request goes on without the client's key, organisation and connection headers")
+TEST_CASE("The client's key, organisation and connection headers are not forwarded to the replica")
 {
     const platform_dialect dialect;
     const std::vector<http_header> client = {{"Host", "a.example"},
@@ -127,20 +127,20 @@
     CHECK(head.lastEvent == "12");
     const auto headers
         = dialect.replicaHeaders(client, {instance_id("i-1"), duration(7300), organisation_id("t1"), std::string("14"), std::nullopt});
-    CHECK(has(headers, "Host", "a.example"));
-    CHECK(has(headers, "Attempt-Id", "9c41"));
-    CHECK(has(headers, "Model", "m1"));
-    CHECK(has(headers, "Deadline-Ms", "7300"));
-    CHECK(has(headers, "Expect-Instance", "i-1"));
-    CHECK(has(headers, "Tenant", "t1"));
-    CHECK(has(headers, "Last-Event-Id", "14"));
+    CHECK(hasHeader(headers, "Host", "a.example"));
+    CHECK(hasHeader(headers, "Attempt-Id", "9c41"));
+    CHECK(hasHeader(headers, "Model", "m1"));
+    CHECK(hasHeader(headers, "Deadline-Ms", "7300"));
+    CHECK(hasHeader(headers, "Expect-Instance", "i-1"));
+    CHECK(hasHeader(headers, "Tenant", "t1"));
+    CHECK(hasHeader(headers, "Last-Event-Id", "14"));
     for (const auto *name : {"authorization", "Authorization", "Connection", "Content-Length"}) {
-        CHECK_FALSE(hasName(headers, name));
+        CHECK_FALSE(hasHeaderNamed(headers, name));
     }
     CHECK(std::count_if(headers.begin(), headers.end(), [](const http_header &header) { return header.name == "Tenant"; }) == 1);
 }
 
-TEST_CASE("Odd request headers are taken for none")
+TEST_CASE("Malformed request headers are treated as absent")
 {
     const platform_dialect dialect;
     CHECK_FALSE(dialect.readRequest({{"Deadline-Ms", "soon"}}).patience);
@@ -149,7 +149,7 @@
     CHECK(dialect.readRequest({{"Authorization", "Bearer"}}).key.empty());
 }
 
-TEST_CASE("Only the replica's own word says that a request has not run")
+TEST_CASE("A request counts as not run only if the replica's answer says so")
 {
     const platform_dialect dialect;
     CHECK(dialect.readAnswer(421, {}).hasNotRun);
@@ -160,7 +160,8 @@
     CHECK(answer.hasServerStamp);
 }
 
-TEST_CASE("What a replica says of the work that it can take is read from answers of every kind")
+TEST_CASE(
+    "The rate limit and the announcement that a replica is leaving are read from answers of every status, the backoff only from a 503")
 {
     const platform_dialect dialect;
     for (const int status : {200, 421, 500, 503}) {
@@ -180,7 +181,7 @@
     CHECK(junk.unreadable == "much");
 }
 
-TEST_CASE("Orders are written as the engines take them")
+TEST_CASE("Orders and their answers are encoded and decoded in the engines' format")
 {
     const platform_dialect dialect;
     replica_order order{order_kind::join,
@@ -204,7 +205,7 @@
     CHECK(bodyOf(dialect.orderCall(order))["Op"].asString() == "open");
     order.kind = order_kind::stage;
     CHECK(bodyOf(dialect.orderCall(order))["Model"].asString() == "m1");
-    CHECK(has(dialect.orderCall(order).headers, "Expect-Instance", "i-1"));
+    CHECK(hasHeader(dialect.orderCall(order).headers, "Expect-Instance", "i-1"));
     CHECK(dialect.readOrderAnswer(order, {202, {}, {}}).result == order_result::accepted);
     CHECK(dialect.readOrderAnswer(order, {200, {}, {}}).result == order_result::already_in_effect);
     CHECK(dialect.readOrderAnswer(order, {409, {}, {}}).result == order_result::conflict);
@@ -213,20 +214,20 @@
     CHECK(dialect.readOrderAnswer(order, {503, {}, {}}).result == order_result::unknown);
     order.kind = order_kind::probe;
     CHECK(dialect.orderCall(order).target == "/report");
-    CHECK(has(dialect.orderCall(order).headers, "Expect-Instance", "i-1"));
-    // Another replica at the address of one that has ended.
+    CHECK(hasHeader(dialect.orderCall(order).headers, "Expect-Instance", "i-1"));
+    // Another replica now runs at the address of one that has terminated.
     CHECK(dialect.readOrderAnswer(order, {421, {}, {}}).result == order_result::gone);
     CHECK_FALSE(dialect.isLivenessAnswer({421, {}, {}}));
     CHECK(dialect.isLivenessAnswer({503, {}, {}}));
-    const auto looked = dialect.readOrderAnswer(order, {200, {}, R"({"Phase":"combined","Seq":5})"});
-    CHECK(looked.result == order_result::accepted);
-    CHECK(looked.acceptedOrders == 5);
+    const auto report = dialect.readOrderAnswer(order, {200, {}, R"({"Phase":"combined","Seq":5})"});
+    CHECK(report.result == order_result::accepted);
+    CHECK(report.acceptedOrders == 5);
     CHECK(dialect.readOrderAnswer(order, {503, {}, {}}).result == order_result::unknown);
 }
 
 namespace {
 
-/// The entry of a replica with one field changed.
+/// Returns the entry of a replica with one field changed.
 std::string entryWith(const char *name, const Json::Value &value)
 {
     auto json = *parseJson(replicaText);
@@ -234,6 +235,7 @@
     return toJsonText(json);
 }
 
+/// Returns the entry of a replica with one field removed.
 std::string entryWithout(const char *name)
 {
     auto json = *parseJson(replicaText);
@@ -241,7 +243,8 @@
     return toJsonText(json);
 }
 
-bool namesReplica(const std::string &text, const std::string &id = "i-1")
+/// Whether the entry is accepted; also checks that a rejection, and only a rejection, gives a reason.
+bool isAcceptedEntry(const std::string &text, const std::string &id = "i-1")
 {
     reason why;
     const auto replica = platform_dialect().readReplica(instance_id(id), text, why);
@@ -251,39 +254,39 @@
 
 } // namespace
 
-TEST_CASE("An entry with a missing field names no replica")
+TEST_CASE("An entry that lacks a required field is rejected")
 {
     for (const auto *name : {"Service", "Address", "Zone", "Version", "Slots", "State", "ColdLeftMs", "Seq"}) {
         INFO(name);
-        CHECK_FALSE(namesReplica(entryWithout(name)));
+        CHECK_FALSE(isAcceptedEntry(entryWithout(name)));
     }
     for (const auto *name : {"Models", "Staged", "group", "Domain"}) {
         INFO(name);
-        CHECK(namesReplica(entryWithout(name)));
+        CHECK(isAcceptedEntry(entryWithout(name)));
     }
 }
 
-TEST_CASE("An entry with a field of another type names no replica")
+TEST_CASE("An entry with a field of another type is rejected")
 {
-    CHECK(namesReplica(replicaText));
-    const std::vector<Json::Value> others = {Json::Value(true), Json::Value(-1), Json::Value(1.5), Json::Value(Json::objectValue)};
+    CHECK(isAcceptedEntry(replicaText));
+    const std::vector<Json::Value> otherValues = {Json::Value(true), Json::Value(-1), Json::Value(1.5), Json::Value(Json::objectValue)};
     for (const auto *name : {"Service", "Address", "Zone", "Version", "Slots", "State", "ColdLeftMs", "Seq", "Models", "Staged", "born"}) {
-        for (const auto &value : others) {
+        for (const auto &value : otherValues) {
             INFO(name << " " << toJsonText(value));
-            CHECK_FALSE(namesReplica(entryWith(name, value)));
+            CHECK_FALSE(isAcceptedEntry(entryWith(name, value)));
         }
     }
-    CHECK_FALSE(namesReplica(entryWith("Slots", "26")));
-    CHECK_FALSE(namesReplica(entryWith("Slots", Json::UInt64(1) << 40U)));
-    CHECK_FALSE(namesReplica(entryWith("born", "1764720000000")));
-    CHECK_FALSE(namesReplica(entryWith("State", "asleep")));
-    CHECK_FALSE(namesReplica(entryWith("group", "g7")));
-    CHECK_FALSE(namesReplica(entryWith("group", Json::Value(Json::arrayValue))));
-    CHECK_FALSE(namesReplica("[]"));
-    CHECK_FALSE(namesReplica("\xff\xfe bytes"));
+    CHECK_FALSE(isAcceptedEntry(entryWith("Slots", "26")));
+    CHECK_FALSE(isAcceptedEntry(entryWith("Slots", Json::UInt64(1) << 40U)));
+    CHECK_FALSE(isAcceptedEntry(entryWith("born", "1764720000000")));
+    CHECK_FALSE(isAcceptedEntry(entryWith("State", "asleep")));
+    CHECK_FALSE(isAcceptedEntry(entryWith("group", "g7")));
+    CHECK_FALSE(isAcceptedEntry(entryWith("group", Json::Value(Json::arrayValue))));
+    CHECK_FALSE(isAcceptedEntry("[]"));
+    CHECK_FALSE(isAcceptedEntry("\xff\xfe bytes"));
 }
 
-TEST_CASE("An entry whose place in a group cannot be read names no replica")
+TEST_CASE("An entry with an invalid group membership is rejected")
 {
     const auto group = (*parseJson(replicaText))["group"];
     for (const auto &[name, value] : std::vector<std::pair<const char *, Json::Value>>{
@@ -291,31 +294,31 @@
         auto changed = group;
         changed[name] = value;
         INFO(toJsonText(changed));
-        CHECK_FALSE(namesReplica(entryWith("group", changed)));
+        CHECK_FALSE(isAcceptedEntry(entryWith("group", changed)));
     }
-    CHECK(namesReplica(entryWith("group", Json::Value(Json::objectValue))));
+    CHECK(isAcceptedEntry(entryWith("group", Json::Value(Json::objectValue))));
 }
 
-TEST_CASE("An id that does not fit into a header names no replica")
+TEST_CASE("A replica id that is not a valid header value is rejected")
 {
-    CHECK_FALSE(namesReplica(replicaText, ""));
-    CHECK_FALSE(namesReplica(replicaText, "i-1\r\nTenant: other"));
-    CHECK_FALSE(namesReplica(replicaText, "i\xc3\xa4"));
+    CHECK_FALSE(isAcceptedEntry(replicaText, ""));
+    CHECK_FALSE(isAcceptedEntry(replicaText, "i-1\r\nTenant: other"));
+    CHECK_FALSE(isAcceptedEntry(replicaText, "i\xc3\xa4"));
 }
 
-TEST_CASE("A replica's start is read from its entry and its reports")
+TEST_CASE("A replica's incarnation is read from its entry and its reports")
 {
     const platform_dialect dialect;
     reason why;
     CHECK(dialect.readReplica(instance_id("i-1"), replicaText, why)->incarnation == replica_incarnation());
     const auto text = entryWith("born", Json::UInt64(1764720000123));
     CHECK(dialect.readReplica(instance_id("i-1"), text, why)->incarnation == replica_incarnation(1764720000123));
-    replica_order look;
-    look.kind = order_kind::probe;
+    replica_order probe;
+    probe.kind = order_kind::probe;
     http_reply reply;
     reply.status = 200;
     reply.body = R"({"Seq":3,"born":1764720000123})";
-    const auto answer = dialect.readOrderAnswer(look, reply);
+    const auto answer = dialect.readOrderAnswer(probe, reply);
     CHECK(answer.acceptedOrders == 3);
     CHECK(answer.incarnation == replica_incarnation(1764720000123));
 }
--- a/Tests/Soak/soak_platform.cpp
+++ b/Tests/Soak/soak_platform.cpp
@@ -117,7 +117,7 @@
 {
     Json::Value item;
     item[names::key] = names::configurationKey;
-    item[names::value] = encodedBase64(configurationText(version, changingKey));
+    item[names::value] = encodeBase64(configurationText(version, changingKey));
     item[names::lease] = 0;
     Json::Value transaction;
     transaction[names::writes].append(item);
--- a/Tests/StandIns/platform/entry_writer.cpp
+++ b/Tests/StandIns/platform/entry_writer.cpp
@@ -68,7 +68,7 @@
         return true;
     }
     if (entry.lease != 0 && now - entry.renewed >= m_heartbeat) {
-        const auto reply = call("POST", names::keepCall + std::to_string(entry.lease), Json::Value(Json::objectValue));
+        const auto reply = call("POST", names::renewLeaseCall + std::to_string(entry.lease), Json::Value(Json::objectValue));
         if (!reply) {
             return false;
         }
@@ -80,7 +80,7 @@
     if (entry.lease == 0) {
         Json::Value body;
         body[names::leaseTime] = Json::Int64((m_heartbeat * heartbeatsKept).count());
-        const auto reply = call("POST", names::leaseCall, body);
+        const auto reply = call("POST", names::grantLeaseCall, body);
         const auto json = reply && reply->isSuccess() ? parseJson(reply->body) : std::nullopt;
         if (!json) {
             return false;
@@ -94,7 +94,7 @@
 {
     Json::Value write;
     write[names::key] = names::replicaPrefix + wanted.id;
-    write[names::value] = encodedBase64(wanted.text);
+    write[names::value] = encodeBase64(wanted.text);
     write[names::lease] = Json::UInt64(entry.lease);
     Json::Value body;
     body[names::writes].append(write);
@@ -115,7 +115,7 @@
     for (const auto *text : foreignEntries) {
         Json::Value write;
         write[names::key] = fmt::format("{}foreign-{}", names::replicaPrefix, body[names::writes].size());
-        write[names::value] = encodedBase64(text);
+        write[names::value] = encodeBase64(text);
         body[names::writes].append(write);
     }
     const auto reply = call("POST", names::transactionCall, body);
--- a/Tests/StandIns/platform/standInStore.cpp
+++ b/Tests/StandIns/platform/standInStore.cpp
@@ -119,7 +119,7 @@
             auto &fact = json["entries"][key];
             fact["revision"] = Json::UInt64(entry.changed.value());
             fact["lease"] = Json::UInt64(entry.lease.value());
-            const auto text = decodedBase64(entry.value.substr(1));
+            const auto text = decodeBase64(entry.value.substr(1));
             fact["value"] = parseJson(text).value_or(Json::Value(text));
         }
         return json;
@@ -168,11 +168,11 @@
         if (path == names::transactionCall) {
             return write(body, isOwn);
         }
-        if (path == names::leaseCall) {
+        if (path == names::grantLeaseCall) {
             return grantLease(m_store, body, monotonicNow());
         }
-        if (path.starts_with(names::keepCall)) {
-            return renewLease(m_store, leaseIn(path, names::keepCall), monotonicNow());
+        if (path.starts_with(names::renewLeaseCall)) {
+            return renewLease(m_store, leaseIn(path, names::renewLeaseCall), monotonicNow());
         }
         if (path.starts_with(names::endLeaseCall)) {
             endLease(m_store, leaseIn(path, names::endLeaseCall), monotonicNow());
@@ -210,7 +210,7 @@
         reason why;
         for (const auto &written : jsonArray(body, names::writes)) {
             if (jsonString(written, names::key) == names::configurationKey
-                && !m_dialect.readConfiguration(decodedBase64(jsonString(written, names::value)), why)) {
+                && !m_dialect.readConfiguration(decodeBase64(jsonString(written, names::value)), why)) {
                 return false;
             }
         }
--- a/Tests/StandIns/platform/store_model.cpp
+++ b/Tests/StandIns/platform/store_model.cpp
@@ -186,11 +186,11 @@
             store.created[key] = revision.value();
         }
         store.keys.entries[key] = {value, revision, lease_number(jsonNumber(write, names::lease))};
-        store.keys.note(key, value);
+        store.keys.recordChange(key, value);
     }
     for (const auto &removal : jsonArray(transaction, names::removals)) {
         if (store.keys.entries.erase(removal.asString()) > 0) {
-            store.keys.note(removal.asString(), "");
+            store.keys.recordChange(removal.asString(), "");
         }
     }
     limitHistory(store);
