--- a/Libraries/Daemon/admission.cpp
+++ b/Libraries/Daemon/admission.cpp
@@ -15,10 +15,10 @@
 
 namespace {
 
-constexpr duration rampTime(10000);
-constexpr double leastRamp = 0.1;
+constexpr duration rampDuration(10000);
+constexpr double minRamp = 0.1;
 
-/// One request that waits on its own thread.
+/// A waiting request, whose own thread blocks until it is woken.
 struct waiting_thread
 {
     const admission_request &request;
@@ -36,6 +36,7 @@
     std::mt19937_64 random{std::random_device()()};
 };
 
+/// Computes the load of a replica as the router weighs it; \a reserved is the share of the limit kept free for higher priorities.
 replica_load loadOf(const replica_route &route, const admission_request &request, double reserved, instant now)
 {
     auto &runtime = *route.runtime;
@@ -44,8 +45,10 @@
     load.sentSince = runtime.sentSinceReport;
     load.inFlight = runtime.inFlight;
     load.firstTokenMilliseconds = runtime.firstTokenMilliseconds;
-    load.ramp = std::clamp(
-        static_cast<double>(now.time_since_epoch().count() - runtime.servingSince) / static_cast<double>(rampTime.count()), leastRamp, 1.0);
+    load.ramp
+        = std::clamp(static_cast<double>(now.time_since_epoch().count() - runtime.servingSince) / static_cast<double>(rampDuration.count()),
+                     minRamp,
+                     1.0);
     load.isExcluded = runtime.avoidUntil > now.time_since_epoch().count() || request.tried.contains(route.group);
     const std::lock_guard lock(runtime.mutex);
     load.limit = std::max(1, static_cast<int>(std::ceil(runtime.limit.value * (1 - reserved))));
@@ -57,21 +60,21 @@
 struct admission::private_data
 {
     const rcu_snapshot<routing_snapshot> &routing;
-    const replica_rests &rests;
+    const replica_backoffs &backoffs;
     mutable std::mutex mutex;
     std::map<deployment_id, std::unique_ptr<deployment_queue>> queues;
     std::uint64_t lastTicket = 0;
     routing_policy policy;
-    histogram waits;
+    histogram waitTimes;
 
-    private_data(const rcu_snapshot<routing_snapshot> &routes, const replica_rests &replicaRests, metrics &counters)
+    private_data(const rcu_snapshot<routing_snapshot> &routes, const replica_backoffs &replicaBackoffs, metrics &counters)
         : routing(routes)
-        , rests(replicaRests)
-        , waits(counters.addTimeHistogram("vetchpost_queue_seconds", "How long requests waited for a replica."))
+        , backoffs(replicaBackoffs)
+        , waitTimes(counters.addTimeHistogram("vetchpost_queue_seconds", "How long requests waited for a replica."))
     {
     }
 
-    deployment_queue &queueOf(const deployment_id &deployment)
+    deployment_queue &findOrAddQueue(const deployment_id &deployment)
     {
         const std::lock_guard lock(mutex);
         auto &queue = queues[deployment];
@@ -87,8 +90,8 @@
         return ++lastTicket;
     }
 
-    /// A replica that can take the request now, with its place taken.
-    std::optional<replica_route> choose(deployment_queue &queue, const admission_request &request, instant now)
+    /// Chooses a replica that can run the request now, and occupies a slot of it. Returns nothing if no replica has a free slot.
+    std::optional<replica_route> reserveSlot(deployment_queue &queue, const admission_request &request, instant now)
     {
         return routing.read([&](const routing_snapshot &snapshot) -> std::optional<replica_route> {
             const auto *routes = snapshot.find(request.deployment);
@@ -96,10 +99,10 @@
                 return std::nullopt;
             }
             const auto reserved = reservedShare(queue.queue, request.priority);
-            const replica_choices choices{routes->places, [&](std::size_t place) {
-                                              const auto &route = routes->replicas[place];
+            const replica_choices choices{routes->ringPositions, [&](std::size_t index) {
+                                              const auto &route = routes->replicas[index];
                                               auto load = loadOf(route, request, reserved, now);
-                                              load.isExcluded = load.isExcluded || now < rests.backoffUntil(route.leader);
+                                              load.isExcluded = load.isExcluded || now < backoffs.backoffUntil(route.leader);
                                               return load;
                                           }};
             const auto chosen = chooseReplica(choices, request.prefix, policy, queue.random);
@@ -113,8 +116,9 @@
         });
     }
 
-    /// Why no replica could take a request even if all were idle; nothing where one could.
-    std::optional<reason> whyNever(const admission_request &request) const
+    /// Returns the reason to refuse the request without queueing it: no replica could run it before its deadline, even if all were idle.
+    /// Returns nothing if the request may wait.
+    std::optional<reason> reasonToRefuse(const admission_request &request) const
     {
         return routing.read([&](const routing_snapshot &snapshot) -> std::optional<reason> {
             const auto *routes = snapshot.find(request.deployment);
@@ -125,17 +129,17 @@
             if (!std::any_of(routes->replicas.begin(), routes->replicas.end(), isUntried)) {
                 return reason{error_kind::no_serving_group, "no replica of the model serves at the moment"};
             }
-            const auto opensInTime
-                = [&](const replica_route &route) { return isUntried(route) && rests.backoffUntil(route.leader) < request.deadline; };
-            if (!std::any_of(routes->replicas.begin(), routes->replicas.end(), opensInTime)) {
-                return reason{error_kind::overloaded, "all replicas of the model rest until after the deadline"};
+            const auto isAvailableInTime
+                = [&](const replica_route &route) { return isUntried(route) && backoffs.backoffUntil(route.leader) < request.deadline; };
+            if (!std::any_of(routes->replicas.begin(), routes->replicas.end(), isAvailableInTime)) {
+                return reason{error_kind::overloaded, "all replicas of the model are in backoff until after the deadline"};
             }
             return std::nullopt;
         });
     }
 
-    /// Gives free places to those whose turn it is; the queue's lock is held.
-    void serve(deployment_queue &queue, instant now)
+    /// Removes expired requests and assigns free slots to waiting ones in queue order. The queue's mutex must be held.
+    void assignSlots(deployment_queue &queue, instant now)
     {
         for (const auto &expired : removeExpired(queue.queue, now)) {
             auto &thread = *queue.threads.at(expired.ticket);
@@ -143,28 +147,28 @@
             thread.wake.notify_one();
         }
         while (queue.queue.length > 0) {
-            // A free place is looked for before the one whose turn it is leaves the queue.
-            admission_request anyone = queue.threads.begin()->second->request;
-            anyone.tried.clear();
-            anyone.prefix = 0;
-            anyone.priority = *nextPriority(queue.queue);
-            const auto probe = choose(queue, anyone, now);
-            if (!probe) {
+            // The next request is dequeued only once a replica of the deployment has a free slot for its priority.
+            admission_request anyRequest = queue.threads.begin()->second->request;
+            anyRequest.tried.clear();
+            anyRequest.prefix = 0;
+            anyRequest.priority = *nextPriority(queue.queue);
+            const auto freeReplica = reserveSlot(queue, anyRequest, now);
+            if (!freeReplica) {
                 return;
             }
-            probe->runtime->inFlight.fetch_sub(1);
-            probe->runtime->sentSinceReport.fetch_sub(1);
+            freeReplica->runtime->inFlight.fetch_sub(1);
+            freeReplica->runtime->sentSinceReport.fetch_sub(1);
             const auto next = dequeue(queue.queue, now);
             auto &thread = *queue.threads.at(next->ticket);
-            thread.route = choose(queue, thread.request, now);
+            thread.route = reserveSlot(queue, thread.request, now);
             thread.isExpired = !thread.route;
             thread.wake.notify_one();
         }
     }
 };
 
-admission::admission(const rcu_snapshot<routing_snapshot> &routing, const replica_rests &rests, metrics &counters)
-    : d(std::make_unique<private_data>(routing, rests, counters))
+admission::admission(const rcu_snapshot<routing_snapshot> &routing, const replica_backoffs &backoffs, metrics &counters)
+    : d(std::make_unique<private_data>(routing, backoffs, counters))
 {
 }
 
@@ -172,19 +176,19 @@
 
 std::optional<replica_route> admission::acquire(const admission_request &request, reason &lastReason)
 {
-    if (auto never = d->whyNever(request)) {
-        lastReason = *never;
+    if (auto refusal = d->reasonToRefuse(request)) {
+        lastReason = *refusal;
         return std::nullopt;
     }
-    auto &queue = d->queueOf(request.deployment);
+    auto &queue = d->findOrAddQueue(request.deployment);
     std::unique_lock lock(queue.mutex);
     const auto arrived = monotonicNow();
     if (request.tried.empty()) {
         recordFirstAttempt(queue.retries);
     }
     if (queue.queue.length == 0) {
-        if (auto route = d->choose(queue, request, arrived)) {
-            d->waits.observe(0);
+        if (auto route = d->reserveSlot(queue, request, arrived)) {
+            d->waitTimes.observe(0);
             return route;
         }
     }
@@ -209,9 +213,9 @@
     }
     removeTicket(queue.queue, entry.ticket);
     queue.threads.erase(entry.ticket);
-    d->waits.observe(std::chrono::duration<double>(monotonicNow() - arrived).count());
+    d->waitTimes.observe(std::chrono::duration<double>(monotonicNow() - arrived).count());
     if (!thread.route) {
-        lastReason = {error_kind::queue_deadline, "no replica had room before the deadline"};
+        lastReason = {error_kind::queue_deadline, "no replica had a free slot before the deadline"};
     }
     return thread.route;
 }
@@ -219,9 +223,9 @@
 void admission::release(const deployment_id &deployment, const replica_route &route)
 {
     route.runtime->inFlight.fetch_sub(1);
-    auto &queue = d->queueOf(deployment);
+    auto &queue = d->findOrAddQueue(deployment);
     const std::lock_guard lock(queue.mutex);
-    d->serve(queue, monotonicNow());
+    d->assignSlots(queue, monotonicNow());
 }
 
 void admission::wake()
@@ -235,11 +239,11 @@
     }
     for (auto *queue : queues) {
         const std::lock_guard lock(queue->mutex);
-        d->serve(*queue, monotonicNow());
+        d->assignSlots(*queue, monotonicNow());
     }
 }
 
-std::optional<duration> admission::opensAfter(const deployment_id &deployment) const
+std::optional<duration> admission::timeUntilAvailable(const deployment_id &deployment) const
 {
     std::vector<endpoint> leaders;
     d->routing.read([&](const routing_snapshot &snapshot) {
@@ -249,12 +253,12 @@
             });
         }
     });
-    return d->rests.opensAfter(leaders);
+    return d->backoffs.timeUntilAvailable(leaders);
 }
 
-bool admission::takeRetryFor(const deployment_id &deployment)
+bool admission::spendRetryFor(const deployment_id &deployment)
 {
-    auto &queue = d->queueOf(deployment);
+    auto &queue = d->findOrAddQueue(deployment);
     const std::lock_guard lock(queue.mutex);
     return spendRetry(queue.retries);
 }
@@ -281,7 +285,7 @@
     recordFirstToken(runtime.limit, firstToken, runtime.inFlight, monotonicNow());
 }
 
-void noteTrouble(const replica_route &route, duration avoidFor)
+void recordFailure(const replica_route &route, duration avoidFor)
 {
     const auto now = monotonicNow();
     route.runtime->avoidUntil = (now + avoidFor).time_since_epoch().count();
--- a/Libraries/Daemon/answer_sink.cpp
+++ b/Libraries/Daemon/answer_sink.cpp
@@ -21,7 +21,7 @@
 {
     m_text += text;
     m_finishReason = finishReason;
-    ++m_pieces;
+    ++m_chunkCount;
     if (!m_isStreamed) {
         return true;
     }
@@ -47,10 +47,10 @@
     return true;
 }
 
-void answer_sink::fail(const reason &why, std::optional<duration> comeBackAfter)
+void answer_sink::fail(const reason &why, std::optional<duration> retryAfter)
 {
     if (!m_hasBegun) {
-        m_exchange.sendError(why, m_request.id.value(), comeBackAfter);
+        m_exchange.sendError(why, m_request.id.value(), retryAfter);
         return;
     }
     const auto &answer = errorAnswer(why.kind);
@@ -81,7 +81,7 @@
     json["model"] = m_request.target.id.value();
     json["choices"] = Json::Value(Json::arrayValue);
     json["choices"].append(choice);
-    json["usage"]["completion_tokens"] = Json::UInt64(m_pieces);
+    json["usage"]["completion_tokens"] = Json::UInt64(m_chunkCount);
     return toJsonText(json);
 }
 
--- a/Libraries/Daemon/answer_sink.h
+++ b/Libraries/Daemon/answer_sink.h
@@ -9,22 +9,22 @@
 
 namespace vetchpost {
 
-/// Where the pieces of a model's answer go: a stream of events, or one body at the end.
+/// Writes a model's answer to the caller, either as a stream of server-sent events or as one body at the end.
 class answer_sink
 {
 public:
     answer_sink(http_exchange &exchange, const caller_request &request, bool isStreamed);
 
-    /// Passes on one piece; false once the caller has gone.
+    /// Appends one chunk of the answer, and writes it if the answer is streamed. Returns false if the caller has disconnected.
     bool deliver(const std::string &text, const std::string &finishReason);
-    /// Sends the end of a whole answer; false once the caller has gone.
+    /// Sends the end marker of the stream, or the whole body. Returns false if the stream's caller has disconnected.
     bool complete();
-    /// Says that there will be no whole answer, and when the caller had better ask again where that is known. A stream that has begun ends
-    /// without its end marker.
-    void fail(const reason &why, std::optional<duration> comeBackAfter);
-    /// All text delivered so far.
+    /// Sends the error that kept the answer from being completed, with the retry-after time if one is given. A stream that has begun
+    /// gets the error as an event and ends without its end marker.
+    void fail(const reason &why, std::optional<duration> retryAfter);
+    /// Returns the text delivered so far.
     const std::string &text() const;
-    /// The answer as one body.
+    /// Returns the answer so far as one chat completion object in JSON.
     std::string body() const;
     bool isStreamed() const;
 
@@ -32,11 +32,11 @@
     http_exchange &m_exchange;
     const caller_request &m_request;
     bool m_isStreamed;
-    /// What every event of the stream begins with.
+    /// The constant start of every event of the stream, formatted once.
     std::string m_eventStart;
     std::string m_event;
     bool m_hasBegun = false;
-    std::uint64_t m_pieces = 0;
+    std::uint64_t m_chunkCount = 0;
     std::string m_text;
     std::string m_finishReason;
 };
--- a/Libraries/Daemon/caller_interface.cpp
+++ b/Libraries/Daemon/caller_interface.cpp
@@ -19,14 +19,14 @@
 constexpr std::string_view servicesPrefix = "/services/";
 constexpr std::string_view bearerPrefix = "Bearer ";
 constexpr duration bodyTimeout(10000);
-constexpr std::size_t longestKey = 255;
-/// A daemon that has not heard of all groups after this time serves what it has heard of.
-constexpr duration longestLearning(15000);
-/// A request that comes to a daemon which has just started waits so long for what it lacks: its peers tell it within a second or two.
-constexpr duration longestWaitAtStart(3000);
-constexpr duration pollPeriodAtStart(10);
+constexpr std::size_t maxKeyLength = 255;
+/// Time after the start at which a daemon serves the groups that it knows, even if it has not received the state of all groups.
+constexpr duration maxLearningTime(15000);
+/// How long a request to a daemon that has just started waits for missing state; the peers send it within a second or two.
+constexpr duration maxStartupWait(3000);
+constexpr duration startupPollPeriod(10);
 
-/// The value of a header that must be a whole number; nothing where it is not one.
+/// Parses a whole number; returns nothing if the text is not one.
 std::optional<std::int64_t> wholeNumber(const std::string &text)
 {
     std::int64_t value = 0;
@@ -72,8 +72,8 @@
         return context.cluster.routing().read([](const routing_snapshot &snapshot) { return snapshot.hasHeardOfGroups; });
     }
 
-    /// Whether replicas of the deployment are known, or that there are none.
-    bool mayKnowReplicas(const deployment_id &target) const
+    /// Returns whether a route of the deployment is known, or the routes are complete.
+    bool hasRoutesOrIsComplete(const deployment_id &target) const
     {
         return context.cluster.routing().read([&](const routing_snapshot &snapshot) {
             if (snapshot.hasHeardOfGroups) {
@@ -84,19 +84,21 @@
         });
     }
 
-    /// Waits as long as this daemon has just started, not beyond \a until.
-    void awaitAtStart(instant until, const std::function<bool()> &isKnown) const
+    /// Polls until isKnown returns true, \a until has passed or the startup time of this daemon is over.
+    void waitDuringStartup(instant until, const std::function<bool()> &isKnown) const
     {
-        const auto end = std::min(until, started + longestLearning);
+        const auto end = std::min(until, started + maxLearningTime);
         while (!isKnown() && monotonicNow() < end) {
-            std::this_thread::sleep_for(pollPeriodAtStart);
+            std::this_thread::sleep_for(startupPollPeriod);
         }
     }
 
-    /// Without it the caller would be told that nobody serves, and to come back in seconds, where the daemon's peers know replicas.
-    void awaitReplicas(const caller_request &request) const
+    /// Waits during startup for routes of the request's deployment. Without the wait the caller would get no_serving_group and a
+    /// retry-after time of seconds, although the daemon's peers know replicas.
+    void waitForReplicas(const caller_request &request) const
     {
-        awaitAtStart(std::min(request.received + longestWaitAtStart, request.deadline), [&] { return mayKnowReplicas(request.target.id); });
+        waitDuringStartup(std::min(request.received + maxStartupWait, request.deadline),
+                          [&] { return hasRoutesOrIsComplete(request.target.id); });
     }
 
     void answerReady(http_exchange &exchange)
@@ -104,15 +106,15 @@
         if (!isReady) {
             exchange.sendError({error_kind::stopping, "this daemon is stopping"});
         } else if (!wanted()) {
-            exchange.sendError({error_kind::no_configuration, "this daemon knows no configuration yet"});
-        } else if (!hasAllRoutes() && monotonicNow() - started < longestLearning) {
-            exchange.sendError({error_kind::no_serving_group, "this daemon has not heard of all groups yet"});
+            exchange.sendError({error_kind::no_configuration, "this daemon has no configuration yet"});
+        } else if (!hasAllRoutes() && monotonicNow() - started < maxLearningTime) {
+            exchange.sendError({error_kind::no_serving_group, "this daemon has not received the state of all groups yet"});
         } else {
             exchange.send(200, "text/plain", "ready\n");
         }
     }
 
-    /// The organisation of the request's bearer key.
+    /// Returns the organisation to which the request's bearer key belongs, or null if there is none.
     const organisation *authorise(const http_exchange &exchange, const configuration &wanted) const
     {
         const auto header = exchange.header("Authorization");
@@ -122,6 +124,7 @@
         return wanted.organisationOfKey(keyDigest(header.substr(bearerPrefix.size())));
     }
 
+    /// Sends the list of the models that the organisation may use.
     void listModels(http_exchange &exchange, const configuration &wanted, const organisation &caller)
     {
         Json::Value json;
@@ -139,12 +142,12 @@
         exchange.send(200, "application/json", toJsonText(json));
     }
 
-    /// Reads what every request has: its body, deadline and key.
+    /// Reads the body, deadline and idempotency key of a request. Returns nothing if one of them is invalid.
     std::optional<caller_request> readRequest(http_exchange &exchange, const organisation &caller, reason &why)
     {
         caller_request request;
         request.id = request_id(fmt::format("{}-{:x}-{}", context.settings.daemon.value(), run.value(), ++lastRequest));
-        request.owner = caller;
+        request.callerOrganisation = caller;
         request.received = monotonicNow();
         auto body = exchange.readBody(context.settings.maximumBodyBytes, bodyTimeout, why);
         if (!body) {
@@ -161,17 +164,19 @@
             request.deadline = std::min(request.deadline, request.received + duration(*given));
         }
         request.key = exchange.header("Idempotency-Key");
-        if (request.key.size() > longestKey) {
+        if (request.key.size() > maxKeyLength) {
             why = {error_kind::malformed_request, "Idempotency-Key may have at most 255 characters"};
             return std::nullopt;
         }
-        const bool isMarked = exchange.header("X-Repeatable") == "no";
-        request.isRepeatable = request.key.empty() && !isMarked;
+        const bool isMarkedUnrepeatable = exchange.header("X-Repeatable") == "no";
+        request.isRepeatable = request.key.empty() && !isMarkedUnrepeatable;
         return request;
     }
 
-    /// The deployment of this name, if the organisation may use it. Others cannot even learn that it exists.
-    static const deployment *findFor(const configuration &wanted, const organisation &caller, const std::string &name, deployment_kind kind)
+    /// Returns the deployment of this name and kind, or null if the organisation may not use it: the answer is the same as for a name that
+    /// does not exist, so that callers cannot discover deployments of others.
+    static const deployment *
+    findAccessible(const configuration &wanted, const organisation &caller, const std::string &name, deployment_kind kind)
     {
         const auto *found = wanted.findDeployment(deployment_id(name));
         return found != nullptr && found->kind == kind && mayUse(*found, caller.id) ? found : nullptr;
@@ -191,17 +196,17 @@
             refuse(exchange, {error_kind::malformed_request, "the body must be a JSON object with a list of messages"}, request->id);
             return;
         }
-        const auto *target = findFor(wanted, caller, jsonString(*body, "model"), deployment_kind::model);
+        const auto *target = findAccessible(wanted, caller, jsonString(*body, "model"), deployment_kind::model);
         if (target == nullptr) {
             refuse(exchange, {error_kind::unknown_model, "there is no such model"}, request->id);
             return;
         }
         request->target = *target;
-        if (!limits.take(caller, static_cast<double>(request->body.size()) / 4 + static_cast<double>(jsonNumber(*body, "max_tokens")))) {
-            refuse(exchange, {error_kind::organisation_limit, "the organisation's tokens of this second are used up"}, request->id);
+        if (!limits.consume(caller, static_cast<double>(request->body.size()) / 4 + static_cast<double>(jsonNumber(*body, "max_tokens")))) {
+            refuse(exchange, {error_kind::organisation_limit, "the organisation has reached its limit of tokens per second"}, request->id);
             return;
         }
-        awaitReplicas(*request);
+        waitForReplicas(*request);
         answerModelRequest(context, exchange, *request, *body);
     }
 
@@ -209,7 +214,7 @@
     {
         const auto rest = exchange.path().substr(servicesPrefix.size());
         const auto slash = rest.find('/');
-        const auto *target = findFor(wanted, caller, rest.substr(0, slash), deployment_kind::service);
+        const auto *target = findAccessible(wanted, caller, rest.substr(0, slash), deployment_kind::service);
         if (target == nullptr) {
             refuse(exchange, {error_kind::unknown_model, "there is no such service"});
             return;
@@ -224,7 +229,7 @@
         request->target = *target;
         request->isRepeatable = request->isRepeatable && isRepeatable(*target, exchange.method());
         const auto path = slash == std::string::npos ? std::string("/") : rest.substr(slash);
-        awaitReplicas(*request);
+        waitForReplicas(*request);
         services.answer(exchange, *request, exchange.query().empty() ? path : path + "?" + exchange.query());
     }
 };
@@ -251,17 +256,17 @@
         return;
     }
     std::shared_ptr<const configuration> wanted;
-    d->awaitAtStart(monotonicNow() + longestWaitAtStart, [&] {
+    d->waitDuringStartup(monotonicNow() + maxStartupWait, [&] {
         wanted = d->wanted();
         return wanted != nullptr;
     });
     if (!wanted) {
-        d->refuse(exchange, {error_kind::no_configuration, "this daemon knows no configuration yet"});
+        d->refuse(exchange, {error_kind::no_configuration, "this daemon has no configuration yet"});
         return;
     }
     const auto *caller = d->authorise(exchange, *wanted);
     if (caller == nullptr) {
-        d->refuse(exchange, {error_kind::unauthorised, "a bearer key of an organisation is needed"});
+        d->refuse(exchange, {error_kind::unauthorised, "a valid bearer key is required"});
         return;
     }
     if (exchange.path() == modelsPath && exchange.method() == "GET") {
@@ -271,9 +276,9 @@
     } else if (exchange.path().starts_with(servicesPrefix)) {
         d->answerService(exchange, *wanted, *caller);
     } else if (exchange.path() == modelsPath || exchange.path() == chatPath) {
-        d->refuse(exchange, {error_kind::method_not_allowed, "this path takes another method"});
+        d->refuse(exchange, {error_kind::method_not_allowed, "the method is not allowed for this path"});
     } else {
-        d->refuse(exchange, {error_kind::unknown_path, "there is nothing at this path"});
+        d->refuse(exchange, {error_kind::unknown_path, "there is no such path"});
     }
 }
 
@@ -282,7 +287,7 @@
     d->isReady = false;
 }
 
-void caller_interface::refuseNew()
+void caller_interface::refuseNewRequests()
 {
     d->isRefusing = true;
 }
--- a/Libraries/Daemon/caller_interface.h
+++ b/Libraries/Daemon/caller_interface.h
@@ -10,7 +10,7 @@
 
 namespace vetchpost {
 
-/// The listener of the callers: who asks, for what, and whether they may.
+/// HTTP interface for callers: authenticates and validates requests, and passes them to the gateway of their deployment.
 class caller_interface
 {
 public:
@@ -19,11 +19,12 @@
     caller_interface(const caller_interface &) = delete;
     caller_interface &operator=(const caller_interface &) = delete;
 
+    /// Answers one HTTP request.
     void handle(http_exchange &exchange);
-    /// Says from now on that this daemon is not ready.
+    /// Makes the readiness check fail from now on.
     void setNotReady();
-    /// Refuses new requests from now on.
-    void refuseNew();
+    /// Refuses new requests from now on, health and readiness checks excepted.
+    void refuseNewRequests();
 
 private:
     struct private_data;
--- a/Libraries/Daemon/caller_request.h
+++ b/Libraries/Daemon/caller_request.h
@@ -12,21 +12,22 @@
 
 namespace vetchpost {
 
-/// One request of a caller, after its organisation and deployment are known.
+/// A caller's request, with its organisation and deployment resolved.
 struct caller_request
 {
     request_id id;
-    organisation owner;
+    organisation callerOrganisation;
     deployment target;
     std::string body;
     instant received;
     instant deadline;
-    /// The caller's Idempotency-Key; empty for none.
+    /// Value of the Idempotency-Key header; empty if there is none.
     std::string key;
+    /// Whether the request may run more than once.
     bool isRepeatable = true;
 };
 
-/// The claim that this request makes under its key.
+/// Builds the record with which the daemon claims the request's idempotency key.
 claim_record claimOf(const caller_request &request, const daemon_id &daemon);
 
 } // namespace vetchpost
--- a/Libraries/Daemon/claim_service.cpp
+++ b/Libraries/Daemon/claim_service.cpp
@@ -11,14 +11,14 @@
 namespace {
 
 constexpr duration tickPeriod(5);
-constexpr std::size_t mostKeptAnswers = 512;
-constexpr std::size_t largestKeptAnswer = 64U * 1024U;
+constexpr std::size_t maxCachedAnswers = 512;
+constexpr std::size_t maxCachedAnswerSize = 64U * 1024U;
 
 } // namespace
 
 struct claim_service::private_data
 {
-    struct waiting_asker
+    struct waiting_claim
     {
         std::condition_variable wake;
         std::optional<claim_result> answer;
@@ -28,8 +28,8 @@
     worker_pool &workers;
     mutable std::mutex mutex;
     std::vector<claim_batcher> batchers;
-    std::map<request_id, waiting_asker *> askers;
-    std::map<request_id, kept_answer> answers;
+    std::map<request_id, waiting_claim *> waitingClaims;
+    std::map<request_id, cached_answer> answers;
     std::deque<request_id> answerOrder;
     counter writes;
     counter claims;
@@ -48,12 +48,13 @@
         }
     }
 
-    /// Starts the calls and wakes the askers that a batcher asks for; the lock is held.
+    /// Performs a batcher's actions: starts calls to the key-value service and wakes the requests whose claims are decided. The mutex must
+    /// be held.
     void perform(unsigned shard, const std::vector<claim_action> &actions)
     {
         for (const auto &action : actions) {
             if (const auto *answer = std::get_if<claim_result>(&action)) {
-                tell(*answer);
+                deliverResult(*answer);
             } else if (const auto *write = std::get_if<write_shard>(&action)) {
                 workers.run([this, shard, call = *write] { writeShard(shard, call); });
             } else {
@@ -62,12 +63,12 @@
         }
     }
 
-    void tell(const claim_result &answer)
+    void deliverResult(const claim_result &answer)
     {
-        const auto asker = askers.find(answer.owner);
-        if (asker != askers.end()) {
-            asker->second->answer = answer;
-            asker->second->wake.notify_one();
+        const auto waiting = waitingClaims.find(answer.owner);
+        if (waiting != waitingClaims.end()) {
+            waiting->second->answer = answer;
+            waiting->second->wake.notify_one();
         }
     }
 
@@ -107,15 +108,15 @@
 
 claim_result claim_service::claim(const claim_record &record, instant deadline)
 {
-    private_data::waiting_asker asker;
+    private_data::waiting_claim waiting;
     std::unique_lock lock(d->mutex);
     d->claims.increment();
-    d->askers.emplace(record.owner, &asker);
+    d->waitingClaims.emplace(record.owner, &waiting);
     addClaim(d->batchers[shardOf(record.key)], {{claim_change::claim, record}, deadline});
-    // The batcher answers every claim, at the latest a call's timeout after the deadline.
-    asker.wake.wait(lock, [&] { return asker.answer.has_value(); });
-    d->askers.erase(record.owner);
-    return *asker.answer;
+    // The batcher decides every claim, at the latest one call timeout after the deadline.
+    waiting.wake.wait(lock, [&] { return waiting.answer.has_value(); });
+    d->waitingClaims.erase(record.owner);
+    return *waiting.answer;
 }
 
 void claim_service::settle(claim_change change, const claim_record &record)
@@ -124,21 +125,21 @@
     addClaim(d->batchers[shardOf(record.key)], {{change, record}, {}});
 }
 
-void claim_service::keepAnswer(const request_id &owner, const kept_answer &answer)
+void claim_service::cacheAnswer(const request_id &owner, const cached_answer &answer)
 {
-    if (answer.body.size() > largestKeptAnswer) {
+    if (answer.body.size() > maxCachedAnswerSize) {
         return;
     }
     const std::lock_guard lock(d->mutex);
     d->answers[owner] = answer;
     d->answerOrder.push_back(owner);
-    if (d->answerOrder.size() > mostKeptAnswers) {
+    if (d->answerOrder.size() > maxCachedAnswers) {
         d->answers.erase(d->answerOrder.front());
         d->answerOrder.pop_front();
     }
 }
 
-std::optional<kept_answer> claim_service::answerOf(const request_id &owner) const
+std::optional<cached_answer> claim_service::cachedAnswer(const request_id &owner) const
 {
     const std::lock_guard lock(d->mutex);
     const auto found = d->answers.find(owner);
--- a/Libraries/Daemon/claim_service.h
+++ b/Libraries/Daemon/claim_service.h
@@ -14,15 +14,15 @@
 
 namespace vetchpost {
 
-/// An answer that a second asker with the same key may get.
-struct kept_answer
+/// An HTTP answer that is cached, to be replayed to a later request with the same idempotency key.
+struct cached_answer
 {
     int status = 0;
     std::string contentType;
     std::string body;
 };
 
-/// Claims keys before their requests run, and keeps the answers of those that ran for a while.
+/// Claims idempotency keys in the key-value service before their requests run, and caches recent answers in memory.
 class claim_service
 {
 public:
@@ -31,13 +31,18 @@
     claim_service(const claim_service &) = delete;
     claim_service &operator=(const claim_service &) = delete;
 
+    /// Subscribes to the timer that writes due batches.
     void subscribeTo(timer_service &timers);
-    /// Waits for the verdict on a claim. One without a verdict could not be claimed: the request must not run.
+    /// Claims a key and blocks until the result is known. A result without a verdict means that the key could not be claimed; the request
+    /// must not run.
     claim_result claim(const claim_record &record, instant deadline);
-    /// Says how a granted claim ended; written with the next batch.
+    /// Records how the request of a granted claim ended; the record is written with the next batch.
     void settle(claim_change change, const claim_record &record);
-    void keepAnswer(const request_id &owner, const kept_answer &answer);
-    std::optional<kept_answer> answerOf(const request_id &owner) const;
+    /// Caches an answer under the id of its request. Answers above a size limit are not cached; if the cache is full, the oldest answer is
+    /// evicted.
+    void cacheAnswer(const request_id &owner, const cached_answer &answer);
+    /// Returns the cached answer of a request, or nothing if it is not cached.
+    std::optional<cached_answer> cachedAnswer(const request_id &owner) const;
 
 private:
     struct private_data;
--- a/Libraries/Daemon/claimed_run.cpp
+++ b/Libraries/Daemon/claimed_run.cpp
@@ -5,14 +5,16 @@
 
 namespace {
 
-constexpr auto keptAnswerMethod = "keptAnswer";
-constexpr duration keptAnswerTimeout(2000);
-constexpr duration longestClaim(5000);
+constexpr auto cachedAnswerMethod = "keptAnswer";
+constexpr duration cachedAnswerTimeout(2000);
+constexpr duration maxClaimTime(5000);
 
-std::optional<kept_answer>
-askForAnswer(const claim_record &record, claim_service &claims, const cluster_state &cluster, peer_service &peers)
+/// Returns the cached answer of the request that claimed a key, from this daemon or the daemon that made the claim; nothing if neither has
+/// it.
+std::optional<cached_answer>
+fetchCachedAnswer(const claim_record &record, claim_service &claims, const cluster_state &cluster, peer_service &peers)
 {
-    if (auto own = claims.answerOf(record.owner)) {
+    if (auto own = claims.cachedAnswer(record.owner)) {
         return own;
     }
     const auto address = cluster.peerAddress(record.daemon, monotonicNow());
@@ -21,14 +23,14 @@
     }
     Json::Value parameters;
     parameters["owner"] = record.owner.value();
-    const auto reply = peers.call(*address, keptAnswerMethod, parameters, keptAnswerTimeout);
+    const auto reply = peers.call(*address, cachedAnswerMethod, parameters, cachedAnswerTimeout);
     if (!reply || !jsonFlag(*reply, "kept")) {
         return std::nullopt;
     }
-    return kept_answer{static_cast<int>(jsonNumber(*reply, "status")), jsonString(*reply, "content_type"), jsonString(*reply, "body")};
+    return cached_answer{static_cast<int>(jsonNumber(*reply, "status")), jsonString(*reply, "content_type"), jsonString(*reply, "body")};
 }
 
-/// Whether the daemon that claimed a key can still be running the request.
+/// Returns whether the daemon that claimed a key is alive or suspect, so that it may still be running the request.
 bool mayStillRun(const claim_record &record, const cluster_state &cluster)
 {
     const auto members = cluster.members(monotonicNow());
@@ -44,10 +46,10 @@
 
 claim_permission claimKey(const caller_request &request, const claim_record &record, gateway_context &context)
 {
-    const auto answer = context.claims.claim(record, std::min(request.deadline, request.received + longestClaim));
+    const auto answer = context.claims.claim(record, std::min(request.deadline, request.received + maxClaimTime));
     claim_permission permission;
     if (!answer.verdict) {
-        permission.why = {error_kind::claim_unavailable, "the key could not be claimed; the request did not run"};
+        permission.why = {error_kind::claim_unavailable, "the idempotency key could not be claimed; the request did not run"};
         return permission;
     }
     switch (*answer.verdict) {
@@ -55,21 +57,21 @@
         permission.mayRun = true;
         break;
     case claim_verdict::reused:
-        permission.why = {error_kind::claim_reused, "this key was used with another body"};
+        permission.why = {error_kind::claim_reused, "this key was used with a different body"};
         break;
     case claim_verdict::running:
-        // It may have ended a moment ago, with the record of that still on its way to the service.
-        permission.earlier = askForAnswer(answer.decidedBy, context.claims, context.cluster, context.peers);
+        // The request may have ended just now, with its final record not yet written to the key-value service.
+        permission.earlier = fetchCachedAnswer(answer.decidedBy, context.claims, context.cluster, context.peers);
         permission.why = mayStillRun(answer.decidedBy, context.cluster)
             ? reason{error_kind::claim_running, "a request with this key is running"}
-            : reason{error_kind::claim_unknown, "a request with this key was begun, and how it ended is not known"};
+            : reason{error_kind::claim_unknown, "a request with this key was started, and its outcome is not known"};
         break;
     case claim_verdict::ran:
-        permission.earlier = askForAnswer(answer.decidedBy, context.claims, context.cluster, context.peers);
-        permission.why = {error_kind::claim_ran, "a request with this key ran; its answer is no longer kept"};
+        permission.earlier = fetchCachedAnswer(answer.decidedBy, context.claims, context.cluster, context.peers);
+        permission.why = {error_kind::claim_ran, "a request with this key ran; its answer is no longer cached"};
         break;
     case claim_verdict::unknown:
-        permission.why = {error_kind::claim_unknown, "a request with this key was begun, and how it ended is not known"};
+        permission.why = {error_kind::claim_unknown, "a request with this key was started, and its outcome is not known"};
         break;
     }
     return permission;
@@ -93,25 +95,25 @@
     return permission.mayRun;
 }
 
-void settleClaim(gateway_context &context, const caller_request &request, const claim_record &record, const run_end &end)
+void settleClaim(gateway_context &context, const caller_request &request, const claim_record &record, const run_outcome &outcome)
 {
     if (request.key.empty()) {
         return;
     }
-    if (end.answer) {
-        // Kept first: whoever reads that it ran may ask for the answer at once.
-        context.claims.keepAnswer(request.id, *end.answer);
+    if (outcome.answer) {
+        // Cached before the claim is settled: a daemon that reads the settled claim may fetch the answer at once.
+        context.claims.cacheAnswer(request.id, *outcome.answer);
         context.claims.settle(claim_change::finish, record);
         return;
     }
-    context.claims.settle(end.mayHaveRun ? claim_change::abandon : claim_change::withdraw, record);
+    context.claims.settle(outcome.mayHaveRun ? claim_change::abandon : claim_change::withdraw, record);
 }
 
-void offerKeptAnswers(claim_service &claims, peer_service &peers)
+void registerCachedAnswerMethod(claim_service &claims, peer_service &peers)
 {
-    peers.addMethod(keptAnswerMethod, [&claims](const Json::Value &parameters) {
+    peers.addMethod(cachedAnswerMethod, [&claims](const Json::Value &parameters) {
         Json::Value result(Json::objectValue);
-        const auto answer = claims.answerOf(request_id(jsonString(parameters, "owner")));
+        const auto answer = claims.cachedAnswer(request_id(jsonString(parameters, "owner")));
         result["kept"] = answer.has_value();
         if (answer) {
             result["status"] = answer->status;
--- a/Libraries/Daemon/claimed_run.h
+++ b/Libraries/Daemon/claimed_run.h
@@ -9,35 +9,37 @@
 
 namespace vetchpost {
 
-/// What a keyed request may do after its key was looked at.
+/// Outcome of claiming a request's idempotency key: run, replay an earlier answer, or refuse.
 struct claim_permission
 {
-    /// It may run, once.
+    /// Whether the request may run, once.
     bool mayRun = false;
-    /// The first asker's answer, where it is still kept.
-    std::optional<kept_answer> earlier;
-    /// The refusal, where neither holds.
+    /// Answer to the first request with this key, if it is still cached.
+    std::optional<cached_answer> earlier;
+    /// Reason of the refusal, if the request may not run and there is no earlier answer.
     reason why;
 };
 
-/// Claims a request's key, and finds the first asker's answer where it already ran.
+/// Claims a request's idempotency key, and fetches the earlier answer if a request with this key ran or is running.
 claim_permission claimKey(const caller_request &request, const claim_record &record, gateway_context &context);
 
-/// Claims the key of a request that has one. False where the request must not run; its caller has been answered then.
+/// Claims the idempotency key of a request that has one. Returns false if the request must not run; the caller has then been sent an
+/// earlier answer or an error.
 bool admitClaim(gateway_context &context, http_exchange &exchange, const caller_request &request, const claim_record &record);
 
-/// How a request that was let run ended.
-struct run_end
+/// How an admitted request ended.
+struct run_outcome
 {
-    /// Its whole answer; nothing where there is none.
-    std::optional<kept_answer> answer;
+    /// The whole answer; nothing if the request failed.
+    std::optional<cached_answer> answer;
+    /// Whether a backend server may have run the request.
     bool mayHaveRun = false;
 };
 
-/// Records the end of a request under its key.
-void settleClaim(gateway_context &context, const caller_request &request, const claim_record &record, const run_end &end);
+/// Records how a request ended under its idempotency key and caches its answer. Does nothing if the request has no key.
+void settleClaim(gateway_context &context, const caller_request &request, const claim_record &record, const run_outcome &outcome);
 
-/// Adds the method by which a daemon gives other daemons the answers that it keeps.
-void offerKeptAnswers(claim_service &claims, peer_service &peers);
+/// Registers the peer method with which other daemons fetch answers cached by this daemon.
+void registerCachedAnswerMethod(claim_service &claims, peer_service &peers);
 
 } // namespace vetchpost
--- a/Libraries/Daemon/daemon.cpp
+++ b/Libraries/Daemon/daemon.cpp
@@ -64,7 +64,7 @@
     worker_pool orderWorkers{orderThreads};
     worker_pool observerWorkers{observerThreads};
     peer_service peers;
-    replica_rests rests;
+    replica_backoffs rests;
     admission admissions;
     claim_service claims;
     gateway_context context;
@@ -96,7 +96,7 @@
         , operatorServer(settings.operators, fixedLimits(operatorThreads), [this](http_exchange &exchange) { operators.handle(exchange); })
         , callerServer(settings.callers, callerLimits(settings), [this](http_exchange &exchange) { callers.handle(exchange); })
     {
-        offerKeptAnswers(claims, peers);
+        registerCachedAnswerMethod(claims, peers);
     }
 };
 
@@ -133,7 +133,7 @@
     d->cluster.setStopping();
     sleepUntil(monotonicNow() + notReadyTime);
     // 2. No new work; what runs goes on to its end.
-    d->callers.refuseNew();
+    d->callers.refuseNewRequests();
     d->callerServer.stopAccepting();
     const auto deadline = monotonicNow() + d->settings.drainTimeout;
     while (d->callerServer.activeRequests() > 0 && monotonicNow() < deadline) {
--- a/Libraries/Daemon/gateway_context.cpp
+++ b/Libraries/Daemon/gateway_context.cpp
@@ -10,7 +10,7 @@
     , retries(counters.addCounter("vetchpost_retries_total", "Further tries of requests.", {{"reason", "retry"}}))
     , resumes(counters.addCounter("vetchpost_retries_total", "Further tries of requests.", {{"reason", "resume"}}))
     , continuations(counters.addCounter("vetchpost_retries_total", "Further tries of requests.", {{"reason", "continue_elsewhere"}}))
-    , foreignPieces(counters.addCounter("vetchpost_foreign_pieces_total", "Pieces of answers that were not the request's own."))
+    , foreignChunks(counters.addCounter("vetchpost_foreign_pieces_total", "Pieces of answers that were not the request's own."))
     , firstToken(counters.addTimeHistogram("vetchpost_first_token_seconds", "Time from a request's arrival to its first token."))
     , tokenGap(counters.addTimeHistogram("vetchpost_token_gap_seconds", "Time between two tokens of one answer."))
 {
--- a/Libraries/Daemon/gateway_context.h
+++ b/Libraries/Daemon/gateway_context.h
@@ -9,7 +9,7 @@
 
 namespace vetchpost {
 
-/// Counts what becomes of requests.
+/// Metrics of requests and their attempts.
 struct request_counters
 {
     explicit request_counters(metrics &counters);
@@ -20,20 +20,20 @@
     counter retries;
     counter resumes;
     counter continuations;
-    counter foreignPieces;
+    counter foreignChunks;
     histogram firstToken;
     histogram tokenGap;
 };
 
-/// Counts how one request of an organisation ended: "completed" or an error kind's name.
+/// Counts the outcome of one request: "completed" or the name of an error kind.
 void countOutcome(metrics &counters, const organisation_id &organisation, const deployment_id &deployment, const std::string &outcome);
 
-/// What the gateways share.
+/// Settings, services and metrics that the caller interface and the gateways share.
 struct gateway_context
 {
     const daemon_settings &settings;
     cluster_state &cluster;
-    replica_rests &rests;
+    replica_backoffs &backoffs;
     admission &admissions;
     claim_service &claims;
     peer_service &peers;
--- a/Libraries/Daemon/model_gateway.cpp
+++ b/Libraries/Daemon/model_gateway.cpp
@@ -16,14 +16,15 @@
 namespace {
 
 constexpr part_log requestLog("request");
-/// An engine that is silent for longer in the middle of an answer is taken for lost; its stream can be taken up.
-constexpr duration longestTokenGap(2000);
-constexpr duration longestFirstToken(15000);
-constexpr duration avoidAfterTrouble(1000);
+/// Maximum time between tokens of an answer; after it the stream counts as broken off and is resumed.
+constexpr duration maxTokenGap(2000);
+constexpr duration maxFirstTokenTime(15000);
+constexpr duration avoidAfterFailure(1000);
 constexpr std::uint64_t defaultMaximumTokens = 256;
 constexpr double bytesPerToken = 4;
 constexpr int httpOk = 200;
 
+/// Concatenates the roles and contents of all messages, for the prefix hash.
 std::string promptOf(const Json::Value &body)
 {
     std::string prompt;
@@ -36,14 +37,15 @@
     return prompt;
 }
 
+/// Estimates the tokens of prompt and answer.
 double expectedTokens(const Json::Value &body, std::size_t bodySize)
 {
     const auto asked = jsonNumber(body, "max_tokens");
     return static_cast<double>(bodySize) / bytesPerToken + static_cast<double>(asked == 0 ? defaultMaximumTokens : asked);
 }
 
-/// How one try went.
-struct try_result
+/// Result of one attempt on a replica.
+struct attempt_result
 {
     bool isComplete = false;
     bool hasCallerLeft = false;
@@ -51,17 +53,17 @@
     std::string why;
 };
 
-try_result failed(attempt_failure failure, std::string why)
+attempt_result failedAttempt(attempt_failure failure, std::string why)
 {
     return {false, false, failure, std::move(why)};
 }
 
-try_result callerLeft()
+attempt_result callerDisconnected()
 {
-    return {false, true, attempt_failure::no_answer, "the caller has left"};
+    return {false, true, attempt_failure::no_answer, "the caller has disconnected"};
 }
 
-/// One request on its way through tries, resumptions and continuations.
+/// Runs one request through attempts on replicas, resumed streams and continuations on other replicas.
 class model_run
 {
 public:
@@ -77,36 +79,36 @@
         m_progress.deadline = request.deadline;
         m_answer.request = request.id;
         m_admission.deployment = request.target.id;
-        m_admission.organisation = request.owner.id;
-        m_admission.priority = request.owner.priority;
-        m_admission.weight = request.owner.weight;
+        m_admission.organisation = request.callerOrganisation.id;
+        m_admission.priority = request.callerOrganisation.priority;
+        m_admission.weight = request.callerOrganisation.weight;
         m_admission.cost = expectedTokens(body, request.body.size());
         m_admission.prefix = prefixHash(promptOf(body));
         m_admission.deadline = request.deadline;
     }
 
-    /// Runs to the end; true where the whole answer was sent.
+    /// Runs the request to its end. Returns true if the answer is complete.
     bool run()
     {
         for (;;) {
             reason why;
             auto route = m_context.admissions.acquire(m_admission, why);
             if (!route) {
-                // Where no replica is left for another try, how the last one ended says more.
+                // If no replica is left for another attempt, the failure of the last attempt is the more useful reason.
                 return giveUp(m_lastFailure.value_or(why));
             }
             ++m_progress.attempts;
-            auto result = tryOn(*route);
+            auto result = attemptOn(*route);
             m_context.admissions.release(m_request.target.id, *route);
             if (result.hasCallerLeft) {
                 cancelCompletion(route->leader, m_request.id);
-                note(error_kind::caller_left);
+                countFailure(error_kind::caller_left);
                 return false;
             }
             if (result.isComplete) {
                 return finish();
             }
-            if (!mayGoOn(*route, result)) {
+            if (!prepareNextAttempt(*route, result)) {
                 return false;
             }
         }
@@ -117,71 +119,72 @@
         return m_progress.mayHaveRun;
     }
 
-    kept_answer keptAnswer() const
+    cached_answer makeCachedAnswer() const
     {
         return {httpOk, "application/json", m_sink.body()};
     }
 
 private:
-    /// One try on one replica, with the resumptions of its stream.
-    try_result tryOn(const replica_route &route)
+    /// Makes one attempt on a replica, and resumes its stream as often as recovery allows.
+    attempt_result attemptOn(const replica_route &route)
     {
         m_answer.group = route.group;
         m_answer.expected = route.expected;
         m_context.requests.accepted.increment();
         const completion_call completion{
             route.leader, m_request.id, route.group, route.expected, m_admission.priority, m_body, m_sink.text(), m_answer.nextIndex};
-        auto result = follow(makeCompletionCall(completion, longestFirstToken), route);
+        auto result = followStream(makeCompletionCall(completion, maxFirstTokenTime), route);
         while (!result.isComplete && !result.hasCallerLeft) {
             const auto next = planRecovery(m_progress, result.failure, false, monotonicNow());
             if (next.step != recovery_step::resume) {
                 break;
             }
             m_context.requests.resumes.increment();
-            result = follow(makeResumeCall(route.leader, m_request.id, m_answer.nextIndex, longestTokenGap), route);
+            result = followStream(makeResumeCall(route.leader, m_request.id, m_answer.nextIndex, maxTokenGap), route);
         }
         return result;
     }
 
-    /// Follows one stream to its end.
-    try_result follow(const http_call &call, const replica_route &route)
+    /// Opens a stream and delivers its chunks until the answer ends or fails.
+    attempt_result followStream(const http_call &call, const replica_route &route)
     {
         http_stream stream;
         reason why;
         const auto status = stream.open(call, why);
         if (!status) {
-            return failed(why.kind == error_kind::backend_unreachable ? attempt_failure::not_sent : attempt_failure::no_answer, why.text);
+            return failedAttempt(why.kind == error_kind::backend_unreachable ? attempt_failure::not_sent : attempt_failure::no_answer,
+                                 why.text);
         }
         if (*status != httpOk) {
-            m_context.rests.noteAnswer(route.leader, *status, stream.headers());
-            return failedWith(*status, stream);
+            m_context.backoffs.recordBackoff(route.leader, *status, stream.headers());
+            return failureFromReply(*status, stream);
         }
         m_progress.mayHaveRun = true;
-        const auto begun = monotonicNow();
-        auto last = begun;
+        const auto started = monotonicNow();
+        auto last = started;
         bool isFirst = true;
         std::string line;
         for (;;) {
-            const auto limit = std::min(m_request.deadline, last + (isFirst ? longestFirstToken : longestTokenGap));
+            const auto limit = std::min(m_request.deadline, last + (isFirst ? maxFirstTokenTime : maxTokenGap));
             const auto wait = stream.nextLine(line, limit, m_callerSocket);
             if (wait == stream_wait::caller_left) {
-                return callerLeft();
+                return callerDisconnected();
             }
             if (wait != stream_wait::line) {
-                return failed(attempt_failure::broke_off, "the answer broke off");
+                return failedAttempt(attempt_failure::broke_off, "the answer broke off");
             }
-            const auto piece = answerChunkFrom(line);
-            if (!piece) {
+            const auto chunk = answerChunkFrom(line);
+            if (!chunk) {
                 continue;
             }
             const auto now = monotonicNow();
-            switch (checkChunk(m_answer, *piece)) {
+            switch (checkChunk(m_answer, *chunk)) {
             case chunk_verdict::deliver:
-                noteTime(isFirst, route, begun, last, now);
+                recordLatency(isFirst, route, started, last, now);
                 isFirst = false;
                 last = now;
-                if (!m_sink.deliver(piece->text, piece->finishReason)) {
-                    return callerLeft();
+                if (!m_sink.deliver(chunk->text, chunk->finishReason)) {
+                    return callerDisconnected();
                 }
                 m_context.requests.tokens.increment();
                 m_progress.delivered = m_answer.nextIndex;
@@ -192,56 +195,56 @@
                 break;
             case chunk_verdict::foreign:
             case chunk_verdict::gap:
-                m_context.requests.foreignPieces.increment();
-                return failed(attempt_failure::foreign, "a piece of the answer was not the next of this request");
+                m_context.requests.foreignChunks.increment();
+                return failedAttempt(attempt_failure::foreign, "a chunk of the answer did not belong to this request or was out of order");
             }
         }
     }
 
-    static try_result failedWith(int status, http_stream &stream)
+    static attempt_result failureFromReply(int status, http_stream &stream)
     {
-        constexpr std::size_t largestError = 65536;
-        const auto body = stream.readRest(largestError);
+        constexpr std::size_t maxErrorSize = 65536;
+        const auto body = stream.readRest(maxErrorSize);
         const auto json = body ? parseJson(*body) : std::nullopt;
-        // Only the backend server's own word counts for "not run".
+        // The request counts as not run only if the backend server reports so itself.
         if (json && jsonString(*json, "ran") == "not_run") {
-            return failed(attempt_failure::refused, jsonString(*json, "message"));
+            return failedAttempt(attempt_failure::refused, jsonString(*json, "message"));
         }
-        return failed(attempt_failure::failed, "the backend server answered " + std::to_string(status));
+        return failedAttempt(attempt_failure::failed, "the backend server answered " + std::to_string(status));
     }
 
-    void noteTime(bool isFirst, const replica_route &route, instant begun, instant last, instant now)
+    void recordLatency(bool isFirst, const replica_route &route, instant started, instant last, instant now)
     {
         if (!isFirst) {
             m_context.requests.tokenGap.observe(std::chrono::duration<double>(now - last).count());
             return;
         }
-        recordFirstToken(route, now - begun);
+        recordFirstToken(route, now - started);
         if (m_progress.delivered == 0) {
             m_context.requests.firstToken.observe(std::chrono::duration<double>(now - m_request.received).count());
         }
     }
 
-    /// Whether there is another try after this one; else the caller has been told.
-    bool mayGoOn(const replica_route &route, const try_result &result)
+    /// Prepares another attempt after a failed one. Returns false if there is none; the caller has then been sent the error.
+    bool prepareNextAttempt(const replica_route &route, const attempt_result &result)
     {
-        noteTrouble(route, avoidAfterTrouble);
+        recordFailure(route, avoidAfterFailure);
         m_admission.tried.insert(route.group);
-        // How it ends if there is no other try is worked out first: asking for one begins it.
+        // The error without another attempt is determined first, as planning another attempt changes the progress.
         const auto end = planRecovery(m_progress, result.failure, false, monotonicNow());
         const auto next = planRecovery(m_progress, result.failure, true, monotonicNow());
-        const bool wantsAnother = next.step == recovery_step::retry || next.step == recovery_step::continue_elsewhere;
-        requestLog.info("A try failed. request={} group={} why=\"{}\" delivered={} goes_on={}",
+        const bool hasAnotherAttempt = next.step == recovery_step::retry || next.step == recovery_step::continue_elsewhere;
+        requestLog.info("An attempt failed. request={} group={} why=\"{}\" delivered={} goes_on={}",
                         m_request.id.value(),
                         route.group.value(),
                         result.why,
                         m_progress.delivered,
-                        wantsAnother);
-        if (!wantsAnother) {
+                        hasAnotherAttempt);
+        if (!hasAnotherAttempt) {
             return giveUp({next.kind, result.why});
         }
         m_lastFailure = reason{end.kind, result.why};
-        if (!m_context.admissions.takeRetryFor(m_request.target.id)) {
+        if (!m_context.admissions.spendRetryFor(m_request.target.id)) {
             return giveUp({m_lastFailure->kind, result.why + "; the retry budget is used up"});
         }
         (next.step == recovery_step::retry ? m_context.requests.retries : m_context.requests.continuations).increment();
@@ -250,21 +253,21 @@
 
     bool giveUp(const reason &why)
     {
-        note(why.kind);
-        m_sink.fail(why, m_progress.mayHaveRun ? std::nullopt : m_context.admissions.opensAfter(m_request.target.id));
+        countFailure(why.kind);
+        m_sink.fail(why, m_progress.mayHaveRun ? std::nullopt : m_context.admissions.timeUntilAvailable(m_request.target.id));
         return false;
     }
 
-    void note(error_kind kind)
+    void countFailure(error_kind kind)
     {
         m_context.counters.countRefusal(kind);
-        countOutcome(m_context.counters, m_request.owner.id, m_request.target.id, std::string(errorAnswer(kind).name));
+        countOutcome(m_context.counters, m_request.callerOrganisation.id, m_request.target.id, std::string(errorAnswer(kind).name));
     }
 
     bool finish()
     {
         m_context.requests.completed.increment();
-        countOutcome(m_context.counters, m_request.owner.id, m_request.target.id, "completed");
+        countOutcome(m_context.counters, m_request.callerOrganisation.id, m_request.target.id, "completed");
         m_sink.complete();
         return true;
     }
@@ -277,7 +280,7 @@
     request_progress m_progress;
     answer_progress m_answer;
     admission_request m_admission;
-    /// How the last try ended, where another was to follow.
+    /// Failure of the last attempt, if another was planned after it.
     std::optional<reason> m_lastFailure;
 };
 
@@ -291,7 +294,7 @@
     }
     model_run run(context, exchange, request, body);
     const bool isComplete = run.run();
-    settleClaim(context, request, record, {isComplete ? std::optional(run.keptAnswer()) : std::nullopt, run.mayHaveRun()});
+    settleClaim(context, request, record, {isComplete ? std::optional(run.makeCachedAnswer()) : std::nullopt, run.mayHaveRun()});
 }
 
 } // namespace vetchpost
--- a/Libraries/Daemon/model_gateway.h
+++ b/Libraries/Daemon/model_gateway.h
@@ -7,7 +7,7 @@
 
 namespace vetchpost {
 
-/// Runs one request for a model to its final answer, on the thread of its connection.
+/// Serves one request for a model up to its complete answer or an error, on the thread of the connection.
 void answerModelRequest(gateway_context &context, http_exchange &exchange, const caller_request &request, const Json::Value &body);
 
 } // namespace vetchpost
--- a/Libraries/Daemon/organisation_limits.h
+++ b/Libraries/Daemon/organisation_limits.h
@@ -9,29 +9,33 @@
 
 namespace vetchpost {
 
-/// Holds each organisation to its tokens a second: this daemon's part of the limit, split by what each daemon is asked for.
+/// Rate limiter for the tokens per second of each organisation. An organisation's limit is split evenly between data centres, and between
+/// the daemons of a data centre in proportion to the demand that each reports.
 class organisation_limits
 {
 public:
     explicit organisation_limits(cluster_state &cluster);
 
-    /// Takes tokens out of the organisation's limit; false where this second's are used up.
-    bool take(const organisation &organisation, double tokens);
+    /// Consumes tokens of the organisation's limit. Returns false if this daemon's share is used up. Organisations without a limit always
+    /// pass.
+    bool consume(const organisation &organisation, double tokens);
 
 private:
-    struct organisation_use
+    /// Token bucket and measured demand of one organisation.
+    struct organisation_usage
     {
         token_bucket bucket;
-        double asked = 0;
-        instant since;
-        double askedPerSecond = 0;
+        double requestedTokens = 0;
+        instant windowStart;
+        double demandPerSecond = 0;
     };
 
-    void noteDemand(const organisation &organisation, organisation_use &use, double tokens, instant now);
+    /// Adds to the organisation's demand; every two seconds also publishes this daemon's demand and computes its share of the limit anew.
+    void updateShare(const organisation &organisation, organisation_usage &usage, double tokens, instant now);
 
     cluster_state &m_cluster;
     std::mutex m_mutex;
-    std::map<organisation_id, organisation_use> m_uses;
+    std::map<organisation_id, organisation_usage> m_usages;
 };
 
 } // namespace vetchpost
--- a/Libraries/Daemon/replica_rests.cpp
+++ b/Libraries/Daemon/replica_backoffs.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Libraries/Daemon/replica_rests.h"
+#include "Libraries/Daemon/replica_backoffs.h"
 
 #include "Libraries/Base/log.h"
 #include "Libraries/Requests/replica_constraints.h"
@@ -12,11 +12,11 @@
 
 namespace {
 
-constexpr part_log restLog("rest");
+constexpr part_log backoffLog("rest");
 constexpr int tooManyRequests = 429;
 constexpr int serviceUnavailable = 503;
 
-/// These interfaces tell no lives of an engine apart; a rest is over after its time in any case.
+/// Makes a key without an incarnation, as these interfaces do not distinguish incarnations of an engine; a backoff expires in any case.
 replica_key keyOf(const endpoint &address)
 {
     return {instance_id(address.text()), {}};
@@ -24,21 +24,21 @@
 
 } // namespace
 
-struct replica_rests::private_data
+struct replica_backoffs::private_data
 {
     mutable std::mutex mutex;
     replica_constraints table;
     std::atomic<bool> hasAny = false;
 };
 
-replica_rests::replica_rests()
+replica_backoffs::replica_backoffs()
     : d(std::make_unique<private_data>())
 {
 }
 
-replica_rests::~replica_rests() = default;
+replica_backoffs::~replica_backoffs() = default;
 
-void replica_rests::noteAnswer(const endpoint &from, int status, const std::vector<http_header> &headers)
+void replica_backoffs::recordBackoff(const endpoint &from, int status, const std::vector<http_header> &headers)
 {
     if (status != tooManyRequests && status != serviceUnavailable) {
         return;
@@ -52,12 +52,12 @@
     const auto now = monotonicNow();
     expireEntries(d->table, now);
     if (vetchpost::applyNotice(d->table, keyOf(from), notice, now).hasBackoff) {
-        restLog.info("A backend server asks for rest. address={} rest_ms={}", from.text(), notice.backoff->count());
+        backoffLog.info("A backend server asks for a backoff. address={} rest_ms={}", from.text(), notice.backoff->count());
     }
     d->hasAny = true;
 }
 
-instant replica_rests::backoffUntil(const endpoint &address) const
+instant replica_backoffs::backoffUntil(const endpoint &address) const
 {
     if (!d->hasAny) {
         return {};
@@ -67,7 +67,7 @@
     return known == nullptr ? instant() : known->backoffUntil;
 }
 
-std::optional<duration> replica_rests::opensAfter(const std::vector<endpoint> &addresses) const
+std::optional<duration> replica_backoffs::timeUntilAvailable(const std::vector<endpoint> &addresses) const
 {
     std::optional<instant> first;
     for (const auto &address : addresses) {
--- a/Libraries/Daemon/routing_snapshot.h
+++ b/Libraries/Daemon/routing_snapshot.h
@@ -14,60 +14,63 @@
 
 namespace vetchpost {
 
-/// What this daemon has learned of one replica by its own requests. Outlives the snapshots that name the replica.
+/// State that this daemon keeps for one replica: its own requests there and the last load report. Shared by successive snapshots.
 struct replica_runtime
 {
     std::atomic<int> inFlight = 0;
     std::atomic<int> sentSinceReport = 0;
     std::atomic<double> firstTokenMilliseconds = 0;
-    /// Monotonic milliseconds until which no new work is sent, after a failure.
+    /// Monotonic time in milliseconds until which no new requests are sent after a failure.
     std::atomic<std::int64_t> avoidUntil = 0;
-    /// When it began to serve, for the ramp.
+    /// Monotonic time in milliseconds at which the replica was first seen serving; its share of requests ramps up from then.
     std::int64_t servingSince = 0;
     std::mutex mutex;
     replica_limit limit;
-    /// The engine's last report, and when it was last taken in.
+    /// The engine's last load report, and the time at which it was last applied to the limit.
     engine_load reported;
-    instant reportTaken;
+    instant reportAppliedAt;
 };
 
-/// One replica that may be sent work.
+/// A model replica that requests can be routed to.
 struct replica_route
 {
     group_id group;
     generation expected;
     endpoint leader;
-    std::uint64_t place = 0;
+    /// Position on the consistent hash ring of prompt prefixes.
+    std::uint64_t ringPosition = 0;
     engine_load reported;
     std::shared_ptr<replica_runtime> runtime;
 };
 
-/// One instance of a plain service that may be sent work.
+/// An instance of a plain service that requests can be routed to.
 struct service_route
 {
     instance_id instance;
     endpoint address;
 };
 
+/// The replicas or service instances that serve one deployment.
 struct deployment_routes
 {
     deployment_id deployment;
-    /// In the order of their places.
+    /// Sorted by position on the hash ring.
     std::vector<replica_route> replicas;
-    /// The replicas' places on the ring of prefixes.
-    std::vector<std::uint64_t> places;
+    /// Positions of the replicas on the consistent hash ring of prompt prefixes, in the same order.
+    std::vector<std::uint64_t> ringPositions;
     std::vector<service_route> services;
 };
 
-/// All that a request needs to know, in one value.
+/// Immutable routing state that requests are routed by: the configuration and the routes of each deployment.
 struct routing_snapshot
 {
     revision inForce;
     std::shared_ptr<const configuration> wanted;
     std::vector<deployment_routes> deployments;
-    /// The groups are known, and every member has been heard of: these routes are all there are.
+    /// Whether the groups are known and every member has reported, so that the routes are complete.
     bool hasHeardOfGroups = false;
 
+    /// Returns the routes of a deployment, or null if the configuration does not contain it.
     const deployment_routes *find(const deployment_id &id) const
     {
         for (const auto &entry : deployments) {
--- a/Libraries/Daemon/service_gateway.cpp
+++ b/Libraries/Daemon/service_gateway.cpp
@@ -20,13 +20,13 @@
 
 constexpr part_log serviceLog("service");
 constexpr auto requestIdHeader = "X-Request-Id";
-constexpr duration avoidAfterTrouble(2000);
+constexpr duration avoidAfterFailure(2000);
 constexpr duration connectTimeout(1000);
-constexpr std::size_t largestReply = 16U << 20U;
+constexpr std::size_t maxReplySize = 16U << 20U;
 constexpr int serviceUnavailable = 503;
-constexpr int troubleCost = 100000;
+constexpr int recentFailureCost = 100000;
 
-/// What this daemon has learned of one instance of a service.
+/// State that this daemon keeps for one instance of a service.
 struct service_runtime
 {
     int inFlight = 0;
@@ -42,8 +42,8 @@
     call.body = request.body;
     call.connectTimeout = connectTimeout;
     call.receiveTimeout = std::max(duration(1), request.deadline - monotonicNow());
-    call.maximumReplySize = largestReply;
-    call.headers = {{requestIdHeader, request.id.value()}, {"X-Organisation", request.owner.id.value()}};
+    call.maximumReplySize = maxReplySize;
+    call.headers = {{requestIdHeader, request.id.value()}, {"X-Organisation", request.callerOrganisation.id.value()}};
     for (const auto *name : {"Content-Type", "Accept", "Idempotency-Key"}) {
         if (const auto value = exchange.header(name); !value.empty()) {
             call.headers.push_back({name, value});
@@ -52,8 +52,8 @@
     return call;
 }
 
-/// The instance's own word that the request did not run, as it gives when it leaves.
-bool saysNotRun(const http_reply &reply)
+/// Returns whether the instance reports that it did not run the request, as an instance does while it is leaving.
+bool reportsNotRun(const http_reply &reply)
 {
     if (reply.status != serviceUnavailable) {
         return false;
@@ -61,6 +61,7 @@
     return reply.header("X-Request-Ran") == "no";
 }
 
+/// Returns whether a reply carries the id of another request.
 bool isForeign(const http_reply &reply, const caller_request &request)
 {
     const auto id = reply.header(requestIdHeader);
@@ -76,8 +77,9 @@
     std::map<instance_id, service_runtime> runtimes;
     std::mt19937_64 random{std::random_device()()};
 
-    /// An instance with the least work of this daemon's, at random among equals; its place is taken.
-    std::optional<service_route> choose(const deployment_id &deployment, const std::set<instance_id> &tried)
+    /// Chooses the instance with the fewest in-flight requests of this daemon, at random among equals, and counts the request there.
+    /// Returns nothing if every instance was tried or is in backoff.
+    std::optional<service_route> chooseInstance(const deployment_id &deployment, const std::set<instance_id> &tried)
     {
         const auto now = monotonicNow();
         const std::lock_guard lock(mutex);
@@ -86,12 +88,12 @@
         context.cluster.routing().read([&](const routing_snapshot &snapshot) {
             const auto *routes = snapshot.find(deployment);
             for (const auto &route : routes == nullptr ? std::vector<service_route>() : routes->services) {
-                if (tried.contains(route.instance) || now < context.rests.backoffUntil(route.address)) {
+                if (tried.contains(route.instance) || now < context.backoffs.backoffUntil(route.address)) {
                     continue;
                 }
-                // One that had trouble a moment ago comes last, but it is better than none.
+                // An instance that failed recently is used only if there is no other.
                 const auto &runtime = runtimes[route.instance];
-                const auto cost = runtime.inFlight + (runtime.avoidUntil > now ? troubleCost : 0);
+                const auto cost = runtime.inFlight + (runtime.avoidUntil > now ? recentFailureCost : 0);
                 if (best.empty() || cost < least) {
                     best.clear();
                     least = cost;
@@ -109,8 +111,8 @@
         return chosen;
     }
 
-    /// How long until the first of the service's instances has rested; nothing where one does not rest.
-    std::optional<duration> opensAfter(const deployment_id &deployment)
+    /// Returns the time until the first of the service's instances ends its backoff, or nothing if some instance is not in backoff.
+    std::optional<duration> timeUntilAvailable(const deployment_id &deployment)
     {
         std::vector<endpoint> addresses;
         context.cluster.routing().read([&](const routing_snapshot &snapshot) {
@@ -121,26 +123,27 @@
                                [](const service_route &route) { return route.address; });
             }
         });
-        return context.rests.opensAfter(addresses);
+        return context.backoffs.timeUntilAvailable(addresses);
     }
 
-    void release(const service_route &route, bool hadTrouble)
+    void release(const service_route &route, bool hasFailed)
     {
         const std::lock_guard lock(mutex);
         auto &runtime = runtimes[route.instance];
         --runtime.inFlight;
-        if (hadTrouble) {
-            runtime.avoidUntil = monotonicNow() + avoidAfterTrouble;
+        if (hasFailed) {
+            runtime.avoidUntil = monotonicNow() + avoidAfterFailure;
         }
     }
 
-    /// The whole answer, or why there is none. \a progress tells whether it may have run.
+    /// Attempts the request on instances until one replies. Returns nothing on failure, with the reason in \a why; \a progress records
+    /// whether the request may have run.
     std::optional<http_reply>
     run(const http_exchange &exchange, const caller_request &request, const std::string &target, request_progress &progress, reason &why)
     {
         std::set<instance_id> tried;
         for (;;) {
-            const auto route = choose(request.target.id, tried);
+            const auto route = chooseInstance(request.target.id, tried);
             if (!route) {
                 why = {progress.mayHaveRun ? error_kind::backend_lost : error_kind::backend_unreachable,
                        "no instance of the service is left to try"};
@@ -148,20 +151,20 @@
             }
             ++progress.attempts;
             context.requests.accepted.increment();
-            // Each call has a connection of its own: one that the server is just closing would leave the outcome unknown.
+            // A kept connection that the server is just closing would leave the outcome unknown, so each call opens its own.
             auto reply = sendOnFreshConnection(makeCall(exchange, request, target, *route), why);
             if (reply) {
-                context.rests.noteAnswer(route->address, reply->status, reply->headers);
+                context.backoffs.recordBackoff(route->address, reply->status, reply->headers);
             }
-            const bool isUsable = reply && !saysNotRun(*reply) && !isForeign(*reply, request);
+            const bool isUsable = reply && !reportsNotRun(*reply) && !isForeign(*reply, request);
             release(*route, !isUsable);
             if (isUsable) {
                 return reply;
             }
             tried.insert(route->instance);
             const auto next = planRecovery(progress, failureOf(reply, request, why), true, monotonicNow());
-            serviceLog.info("A try failed. request={} instance={} why=\"{}\"", request.id.value(), route->instance.value(), why.text);
-            if (next.step != recovery_step::retry || !context.admissions.takeRetryFor(request.target.id)) {
+            serviceLog.info("An attempt failed. request={} instance={} why=\"{}\"", request.id.value(), route->instance.value(), why.text);
+            if (next.step != recovery_step::retry || !context.admissions.spendRetryFor(request.target.id)) {
                 why.kind = next.step == recovery_step::retry
                     ? planRecovery(progress, failureOf(reply, request, why), false, monotonicNow()).kind
                     : next.kind;
@@ -212,20 +215,20 @@
     progress.deadline = request.deadline;
     reason why;
     const auto reply = d->run(exchange, request, target, progress, why);
-    run_end end;
-    end.mayHaveRun = progress.mayHaveRun;
+    run_outcome runOutcome;
+    runOutcome.mayHaveRun = progress.mayHaveRun;
     if (reply) {
-        end.answer = kept_answer{reply->status, reply->header("Content-Type"), reply->body};
+        runOutcome.answer = cached_answer{reply->status, reply->header("Content-Type"), reply->body};
     }
-    settleClaim(context, request, record, end);
+    settleClaim(context, request, record, runOutcome);
     const auto outcome = reply ? std::string("completed") : std::string(errorAnswer(why.kind).name);
-    countOutcome(context.counters, request.owner.id, request.target.id, outcome);
+    countOutcome(context.counters, request.callerOrganisation.id, request.target.id, outcome);
     if (reply) {
         d->send(exchange, *reply);
         return;
     }
     context.counters.countRefusal(why.kind);
-    exchange.sendError(why, request.id.value(), progress.mayHaveRun ? std::nullopt : d->opensAfter(request.target.id));
+    exchange.sendError(why, request.id.value(), progress.mayHaveRun ? std::nullopt : d->timeUntilAvailable(request.target.id));
 }
 
 } // namespace vetchpost
--- a/Libraries/Daemon/service_gateway.h
+++ b/Libraries/Daemon/service_gateway.h
@@ -9,7 +9,7 @@
 
 namespace vetchpost {
 
-/// Passes requests on to plain services.
+/// Reverse proxy for plain services.
 class service_gateway
 {
 public:
@@ -18,7 +18,7 @@
     service_gateway(const service_gateway &) = delete;
     service_gateway &operator=(const service_gateway &) = delete;
 
-    /// Runs one request to its final answer. \a target is the path with the query at the service.
+    /// Serves one request up to its answer or an error. \a target is the path and query to request from the service.
     void answer(http_exchange &exchange, const caller_request &request, const std::string &target);
 
 private:
--- a/Libraries/Daemon/snapshot_builder.cpp
+++ b/Libraries/Daemon/snapshot_builder.cpp
@@ -26,37 +26,37 @@
     }
 }
 
-/// Takes in an engine's report: a new one at once, the same load again once a second.
-void takeReport(replica_runtime &runtime, const engine_load &report, instant now)
+/// Applies an engine's load report to the replica's limit: a changed report at once, an unchanged one once a second.
+void applyEngineReport(replica_runtime &runtime, const engine_load &report, instant now)
 {
     constexpr duration reportPeriod(1000);
     const std::lock_guard lock(runtime.mutex);
     const bool isNew = report != runtime.reported;
-    if (!isNew && now - runtime.reportTaken < reportPeriod) {
+    if (!isNew && now - runtime.reportAppliedAt < reportPeriod) {
         return;
     }
     runtime.sentSinceReport = isNew ? 0 : runtime.sentSinceReport.load();
     runtime.reported = report;
-    runtime.reportTaken = now;
-    const auto there = std::max(1, report.running + report.queued);
+    runtime.reportAppliedAt = now;
+    const auto totalLoad = std::max(1, report.running + report.queued);
     const auto inFlight = runtime.inFlight.load();
-    const auto ownShare = std::min(1.0, static_cast<double>(inFlight) / there);
+    const auto ownShare = std::min(1.0, static_cast<double>(inFlight) / totalLoad);
     applyReport(runtime.limit, {report.running, report.queued, ownShare, inFlight}, now);
 }
 
-void orderByPlace(deployment_routes &routes)
+void sortByRingPosition(deployment_routes &routes)
 {
     std::sort(routes.replicas.begin(), routes.replicas.end(), [](const replica_route &left, const replica_route &right) {
-        return left.place < right.place;
+        return left.ringPosition < right.ringPosition;
     });
     for (const auto &route : routes.replicas) {
-        routes.places.push_back(route.place);
+        routes.ringPositions.push_back(route.ringPosition);
     }
 }
 
 } // namespace
 
-std::shared_ptr<replica_runtime> snapshot_builder::runtimeOf(const group_id &group, generation expected, instant now)
+std::shared_ptr<replica_runtime> snapshot_builder::findOrAddRuntime(const group_id &group, generation expected, instant now)
 {
     auto &runtime = m_runtimes[{group, expected}];
     if (!runtime) {
@@ -69,14 +69,14 @@
 void snapshot_builder::addModelRoutes(deployment_routes &routes, const snapshot_input &input)
 {
     for (const auto &group : input.allotted.groups) {
-        // Only a group of which every member has confirmed this very generation is ever sent work.
+        // Requests go only to groups of which every member has confirmed the current generation.
         if (group.deployment != routes.deployment || groupStateOf(group, input.tracker) != group_state::serving) {
             continue;
         }
         replica_route route{group.id, group.current, group.members.front().address, hashOf(group.id.value()), {}, nullptr};
         route.reported = findInstance(input.tracker, group.members.front().instance)->lastState->load;
-        route.runtime = runtimeOf(group.id, group.current, input.now);
-        takeReport(*route.runtime, route.reported, input.now);
+        route.runtime = findOrAddRuntime(group.id, group.current, input.now);
+        applyEngineReport(*route.runtime, route.reported, input.now);
         routes.replicas.push_back(std::move(route));
     }
     for (const auto &summary : input.remote) {
@@ -87,7 +87,7 @@
                                            group.leader,
                                            hashOf(group.group.value()),
                                            {},
-                                           runtimeOf(group.group, group.expected, input.now)});
+                                           findOrAddRuntime(group.group, group.expected, input.now)});
             }
         }
     }
@@ -106,13 +106,13 @@
         routes.deployment = wanted.id;
         if (wanted.kind == deployment_kind::model) {
             addModelRoutes(routes, input);
-            orderByPlace(routes);
+            sortByRingPosition(routes);
         } else {
             addServiceRoutes(routes, wanted, input);
         }
         snapshot.deployments.push_back(std::move(routes));
     }
-    // What no snapshot names any more and no request uses is forgotten.
+    // Runtime state that no snapshot and no request uses is removed.
     std::erase_if(m_runtimes, [&](const auto &entry) { return entry.second.use_count() == 1 && entry.second->inFlight == 0; });
     return snapshot;
 }
--- a/Libraries/Daemon/snapshot_builder.h
+++ b/Libraries/Daemon/snapshot_builder.h
@@ -12,6 +12,7 @@
 
 namespace vetchpost {
 
+/// State from which a routing snapshot is built.
 struct snapshot_input
 {
     revision inForce;
@@ -22,14 +23,14 @@
     instant now;
 };
 
-/// Builds snapshots, and keeps what was learned of a replica from one to the next.
+/// Builds routing snapshots, and carries the runtime state of each replica over from one snapshot to the next.
 class snapshot_builder
 {
 public:
     routing_snapshot build(const snapshot_input &input);
 
 private:
-    std::shared_ptr<replica_runtime> runtimeOf(const group_id &group, generation expected, instant now);
+    std::shared_ptr<replica_runtime> findOrAddRuntime(const group_id &group, generation expected, instant now);
     void addModelRoutes(deployment_routes &routes, const snapshot_input &input);
 
     using runtime_key = std::pair<group_id, generation>;
--- a/Libraries/Engines/engine_client.cpp
+++ b/Libraries/Engines/engine_client.cpp
@@ -5,11 +5,11 @@
 
 namespace {
 
-constexpr int conflict = 409;
+constexpr int httpConflict = 409;
 constexpr duration connectTimeout(1000);
 constexpr duration cancelTimeout(1000);
 
-http_call postTo(const endpoint &to, const std::string &target, const Json::Value &body, duration timeout)
+http_call makePostCall(const endpoint &to, const std::string &target, const Json::Value &body, duration timeout)
 {
     http_call call;
     call.to = to;
@@ -27,11 +27,11 @@
 order_outcome sendEngineOrder(const endpoint &to, const engine_order &order, duration timeout)
 {
     reason why;
-    const auto reply = sendOnFreshConnection(postTo(to, "/v1/orders", toJson(order), timeout), why);
+    const auto reply = sendOnFreshConnection(makePostCall(to, "/v1/orders", toJson(order), timeout), why);
     if (!reply) {
         return why.kind == error_kind::backend_unreachable ? order_outcome::not_sent : order_outcome::unknown;
     }
-    if (reply->status == conflict) {
+    if (reply->status == httpConflict) {
         return order_outcome::stale;
     }
     return reply->isSuccess() ? order_outcome::accepted : order_outcome::unknown;
@@ -51,7 +51,7 @@
     const auto json = reply->isSuccess() ? parseJson(reply->body) : std::nullopt;
     auto state = json ? engineStateFrom(*json) : std::nullopt;
     if (!state) {
-        lastReason = {error_kind::backend_mismatch, "the answer is not an engine's state"};
+        lastReason = {error_kind::backend_mismatch, "the reply is not a valid engine state"};
     }
     return state;
 }
@@ -67,7 +67,7 @@
     if (!completion.deliveredText.empty()) {
         body["delivered_text"] = completion.deliveredText;
     }
-    return postTo(completion.leader, "/v1/completions", body, receiveTimeout);
+    return makePostCall(completion.leader, "/v1/completions", body, receiveTimeout);
 }
 
 http_call makeResumeCall(const endpoint &leader, const request_id &request, std::uint64_t firstIndex, duration receiveTimeout)
@@ -75,7 +75,7 @@
     Json::Value body;
     body["request_id"] = request.value();
     body["first_index"] = Json::UInt64(firstIndex);
-    return postTo(leader, "/v1/resume", body, receiveTimeout);
+    return makePostCall(leader, "/v1/resume", body, receiveTimeout);
 }
 
 void cancelCompletion(const endpoint &leader, const request_id &request)
@@ -83,7 +83,7 @@
     Json::Value body;
     body["request_id"] = request.value();
     reason ignored;
-    sendOnFreshConnection(postTo(leader, "/v1/cancel", body, cancelTimeout), ignored);
+    sendOnFreshConnection(makePostCall(leader, "/v1/cancel", body, cancelTimeout), ignored);
 }
 
 } // namespace vetchpost
--- a/Libraries/Engines/engine_messages.h
+++ b/Libraries/Engines/engine_messages.h
@@ -11,7 +11,7 @@
 
 namespace vetchpost {
 
-/// What a model engine is to load.
+/// Model, adapter and version that an engine should load.
 struct model_choice
 {
     std::string model;
@@ -21,8 +21,8 @@
     auto operator<=>(const model_choice &) const = default;
 };
 
-/// An order to one instance: become this rank of this group. An empty group releases the instance.
-/// The generation is the fencing number: it rises over the whole data centre with every change.
+/// An order to one instance to become a rank of a group. An order with an empty group releases the instance.
+/// The generation is the fencing token: it increases with every change in the data centre.
 struct engine_order
 {
     instance_id instance;
@@ -30,39 +30,39 @@
     generation ordered;
     int rank = 0;
     model_choice choice;
-    /// The peers' addresses in rank order.
+    /// Addresses of the group's members in rank order.
     std::vector<endpoint> members;
 };
 
-/// What became of an order.
+/// Result of sending an order.
 enum class order_outcome {
     accepted,
-    /// The engine has seen a higher fencing number.
+    /// The engine has seen a higher fencing token.
     stale,
-    /// The order never reached the engine.
+    /// The order did not reach the engine.
     not_sent,
-    /// The engine may act on the order, now or later.
+    /// The engine may have accepted the order or may yet accept it.
     unknown
 };
 
 enum class engine_phase { idle, loading, ready, failed };
 
-/// How busy an engine says it is; some moments old.
+/// Load that an engine reports of itself; the report may be a few moments old.
 struct engine_load
 {
     int running = 0;
     int queued = 0;
-    /// Of its memory for the prompt cache, in per cent.
+    /// Used share of the memory for the prompt cache, in per cent.
     int cacheUsedPercent = 0;
 
     auto operator<=>(const engine_load &) const = default;
 };
 
-/// What one instance says of itself.
+/// State that an instance reports of itself.
 struct engine_state
 {
     instance_id instance;
-    /// The number of this run of the engine's process.
+    /// Incarnation of the engine's process; it changes with every start.
     incarnation run;
     group_id group;
     generation confirmed;
@@ -75,6 +75,7 @@
     auto operator<=>(const engine_state &) const = default;
 };
 
+/// Conversions from and to JSON; the functions that parse return nothing if the message is not valid.
 Json::Value toJson(const engine_order &order);
 std::optional<engine_order> engineOrderFrom(const Json::Value &json);
 Json::Value toJson(const engine_state &state);
