--- a/Libraries/Daemon/cluster_queries.cpp
+++ b/Libraries/Daemon/cluster_queries.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The queries of cluster_state.
+// Implements the queries of cluster_state.
 #include "Libraries/Daemon/cluster_state_data.h"
 
 #include <algorithm>
@@ -34,28 +34,28 @@
 {
     const std::lock_guard lock(d->mutex);
     peer_candidates result;
-    result.isCoordinator = d->about.isCoordinator;
+    result.isCoordinator = d->description.isCoordinator;
     std::set<endpoint> known = {d->settings.peers};
     for (const auto &[daemon, origin] : d->exchange.origins) {
-        const auto about = daemon == d->settings.daemon ? std::nullopt : d->aboutOf(daemon);
-        if (!about) {
+        const auto description = daemon == d->settings.daemon ? std::nullopt : d->descriptionOf(daemon);
+        if (!description) {
             continue;
         }
-        known.insert(about->peers);
+        known.insert(description->peers);
         const auto liveness = livenessOf(d->exchange, daemon, now);
         const bool isLive = liveness == peer_liveness::alive || liveness == peer_liveness::suspect;
-        (isLive ? result.local : result.lost).push_back(about->peers);
+        (isLive ? result.local : result.lost).push_back(description->peers);
     }
     for (const auto &[dataCentre, summary] : d->summaries) {
         auto &addresses = result.remote.emplace_back();
         for (const auto &member : summary.members) {
-            addresses.push_back(member.about.peers);
-            known.insert(member.about.peers);
+            addresses.push_back(member.description.peers);
+            known.insert(member.description.peers);
         }
     }
     auto contacts = d->settings.seedPeers;
-    for (const auto &member : d->neighbours) {
-        contacts.push_back(member.about.peers);
+    for (const auto &member : d->localMembers) {
+        contacts.push_back(member.description.peers);
     }
     for (const auto &address : contacts) {
         if (known.insert(address).second) {
@@ -65,7 +65,7 @@
     return result;
 }
 
-std::vector<listed_instance> cluster_state::observedShare(instant now) const
+std::vector<listed_instance> cluster_state::instancesToProbe(instant now) const
 {
     const std::lock_guard lock(d->mutex);
     const auto live = liveMembers(d->exchange, now);
@@ -83,13 +83,13 @@
     const std::lock_guard lock(d->mutex);
     std::vector<member_status> result;
     for (const auto &[daemon, origin] : d->exchange.origins) {
-        if (const auto about = d->aboutOf(daemon)) {
-            result.push_back({daemon, *about, livenessOf(d->exchange, daemon, now)});
+        if (const auto description = d->descriptionOf(daemon)) {
+            result.push_back({daemon, *description, livenessOf(d->exchange, daemon, now)});
         }
     }
     for (const auto &[dataCentre, summary] : d->summaries) {
         for (const auto &member : summary.members) {
-            result.push_back({member.daemon, member.about, static_cast<peer_liveness>(member.liveness)});
+            result.push_back({member.daemon, member.description, static_cast<peer_liveness>(member.liveness)});
         }
     }
     return result;
@@ -102,7 +102,7 @@
     for (const auto &group : d->allotted.groups) {
         group_status status;
         status.group = group;
-        status.standing = groupStateOf(group, d->tracker);
+        status.state = groupStateOf(group, d->tracker);
         for (std::size_t rank = 0; rank < group.members.size(); ++rank) {
             if (!hasConfirmed(group, rank, d->tracker)) {
                 const auto *tracked = findInstance(d->tracker, group.members[rank].instance);
@@ -110,8 +110,8 @@
                 status.awaited.push_back(group.members[rank].instance.value() + (isAnswering ? ": to load and confirm" : ": to answer"));
             }
         }
-        const auto since = d->standings.find(group.id);
-        status.standingFor = since == d->standings.end() ? duration() : now - since->second.since;
+        const auto since = d->groupStates.find(group.id);
+        status.timeInState = since == d->groupStates.end() ? duration() : now - since->second.since;
         result.push_back(std::move(status));
     }
     return result;
@@ -121,7 +121,7 @@
 {
     for (const auto &member : members(now)) {
         if (member.daemon == daemon) {
-            return member.about.peers;
+            return member.description.peers;
         }
     }
     return std::nullopt;
@@ -145,13 +145,13 @@
     return d->tracker;
 }
 
-bool cluster_state::isAnotherCoordinator(instant now) const
+bool cluster_state::hasOtherCoordinator(instant now) const
 {
     const std::lock_guard lock(d->mutex);
     const auto live = liveMembers(d->exchange, now);
     return std::any_of(live.begin(), live.end(), [&](const daemon_id &daemon) {
-        const auto about = d->aboutOf(daemon);
-        return daemon != d->settings.daemon && about && about->isCoordinator
+        const auto description = d->descriptionOf(daemon);
+        return daemon != d->settings.daemon && description && description->isCoordinator
             && livenessOf(d->exchange, daemon, now) == peer_liveness::alive;
     });
 }
@@ -162,8 +162,8 @@
     data_centre_summary summary;
     summary.dataCentre = d->settings.dataCentre;
     for (const auto &[daemon, origin] : d->exchange.origins) {
-        if (const auto about = d->aboutOf(daemon)) {
-            summary.members.push_back({daemon, *about, static_cast<int>(livenessOf(d->exchange, daemon, now))});
+        if (const auto description = d->descriptionOf(daemon)) {
+            summary.members.push_back({daemon, *description, static_cast<int>(livenessOf(d->exchange, daemon, now))});
         }
     }
     for (const auto &group : d->allotted.groups) {
--- a/Libraries/Daemon/cluster_state.cpp
+++ b/Libraries/Daemon/cluster_state.cpp
@@ -10,13 +10,13 @@
 {
     d->settings = settings;
     d->exchange = makeExchange(settings.daemon, run, liveness_limits());
-    d->about = {settings.dataCentre, settings.callers, settings.operators, settings.peers, {}, false, false};
-    d->publishAbout();
+    d->description = {settings.dataCentre, settings.callers, settings.operators, settings.peers, {}, false, false};
+    d->publishDescription();
 }
 
 cluster_state::~cluster_state() = default;
 
-void cluster_state::beatNow(instant now)
+void cluster_state::advanceOwnHeartbeat(instant now)
 {
     const std::lock_guard lock(d->mutex);
     advanceHeartbeat(d->exchange, now);
@@ -38,32 +38,32 @@
     if (!setRegister(d->exchange, value)) {
         return false;
     }
-    d->takeRegister(value.name, monotonicNow());
+    d->applyRegister(value.name, monotonicNow());
     return true;
 }
 
-void cluster_state::takeDigest(const exchange_digest &digest, instant now)
+void cluster_state::receiveDigest(const exchange_digest &digest, instant now)
 {
     const std::lock_guard lock(d->mutex);
     applyDigest(d->exchange, digest, now);
 }
 
-bool cluster_state::takeDelta(const exchange_delta &delta, instant now)
+bool cluster_state::receiveDelta(const exchange_delta &delta, instant now)
 {
     const std::lock_guard lock(d->mutex);
     const auto changes = applyDelta(d->exchange, delta, now);
     for (const auto &name : changes.registers) {
-        d->takeRegister(name, now);
+        d->applyRegister(name, now);
     }
     d->isDirty = d->isDirty || changes.haveFactsChanged;
     return !changes.registers.empty();
 }
 
-bool cluster_state::observe(const instance_observation &observation, instant now)
+bool cluster_state::recordObservation(const instance_observation &observation, instant now)
 {
     const std::lock_guard lock(d->mutex);
     const bool hasChanged = applyObservation(d->tracker, observation, now);
-    tellObservation(d->exchange, d->toldStates, observation, now);
+    publishObservation(d->exchange, d->publishedStates, observation, now);
     d->isDirty = true;
     return hasChanged;
 }
@@ -71,20 +71,20 @@
 void cluster_state::setCoordinator(bool isCoordinator)
 {
     const std::lock_guard lock(d->mutex);
-    d->about.isCoordinator = isCoordinator;
-    d->publishAbout();
+    d->description.isCoordinator = isCoordinator;
+    d->publishDescription();
 }
 
 void cluster_state::setStopping()
 {
     const std::lock_guard lock(d->mutex);
-    d->about.isStopping = true;
-    d->publishAbout();
+    d->description.isStopping = true;
+    d->publishDescription();
 }
 
 void cluster_state::refreshSnapshot(instant now)
 {
-    // Members that die change nothing by themselves, so that the words are gone through once a second in any case.
+    // The death of a daemon sets no dirty flag, so the published observations are evaluated at least once a second.
     constexpr duration membershipPeriod(1000);
     routing_snapshot next;
     {
@@ -94,8 +94,8 @@
         }
         d->isDirty = false;
         d->lastMembershipCheck = now;
-        d->takeWords(now);
-        d->noteStandings(now);
+        d->mergeObservations(now);
+        d->recordGroupStates(now);
         std::vector<data_centre_summary> remote;
         for (const auto &[dataCentre, summary] : d->summaries) {
             remote.push_back(summary);
--- a/Libraries/Daemon/cluster_state_data.cpp
+++ b/Libraries/Daemon/cluster_state_data.cpp
@@ -11,28 +11,30 @@
 namespace {
 
 constexpr part_log clusterLog("cluster");
-/// A data centre that is not heard of for so long gives its replicas to the others. Regions lose each other for minutes.
+/// The replicas of a data centre that has been silent for this time are given to the others. It is much longer than a partition between
+/// regions, which can last for minutes.
 constexpr duration lostDataCentreAfter(900000);
 
-/// An instance without any word is missing only after this time: its observer may have been started anew a moment ago.
-constexpr duration wordGrace(5000);
+/// An instance that no daemon reports on is treated as missing only after this time, as its observer may have just restarted.
+constexpr duration unobservedGrace(5000);
 
-/// A fresh daemon waits so long for word of other data centres before it reckons shares: three rounds of the exchange.
+/// How long a daemon that has just started waits for the other data centres' summaries before it computes shares: three rounds of the
+/// exchange.
 constexpr duration shareSettleTime(3000);
 
 } // namespace
 
-void cluster_state::private_data::publishAbout()
+void cluster_state::private_data::publishDescription()
 {
-    setFact(exchange, exchange_names::about, toText(about));
+    setFact(exchange, exchange_names::description, toText(description));
 }
 
-std::optional<about_daemon> cluster_state::private_data::aboutOf(const daemon_id &daemon) const
+std::optional<daemon_description> cluster_state::private_data::descriptionOf(const daemon_id &daemon) const
 {
-    return aboutDaemonFrom(factOf(exchange, daemon, exchange_names::about));
+    return daemonDescriptionFrom(factOf(exchange, daemon, exchange_names::description));
 }
 
-void cluster_state::private_data::takeConfiguration(const shared_register &value)
+void cluster_state::private_data::applyConfiguration(const shared_register &value)
 {
     const auto next = configurationHeadFrom(value.value);
     if (!next || next->current <= head.current) {
@@ -41,71 +43,71 @@
     std::vector<yaml_problem> problems;
     const auto read = readConfiguration(next->text, "configuration", problems);
     if (!read) {
-        // Only a daemon of another version can have accepted it; the last good one stays in force.
-        clusterLog.error(
-            "The accepted configuration cannot be read. revision={} problem={}", next->current.value(), problems.front().text());
+        // Only a daemon of another version can have accepted this text. The last readable configuration stays in force.
+        clusterLog.error("Cannot read the accepted configuration. revision={} problem={}", next->current.value(), problems.front().text());
         return;
     }
     head = *next;
     wanted = std::make_shared<const configuration>(*read);
-    about.inForce = head.current;
-    publishAbout();
-    clusterLog.info("A configuration is in force. revision={}", head.current.value());
+    description.inForce = head.current;
+    publishDescription();
+    clusterLog.info("Put a configuration in force. revision={}", head.current.value());
 }
 
-void cluster_state::private_data::takeAllotment(const shared_register &value)
+void cluster_state::private_data::applyAllotment(const shared_register &value)
 {
     if (auto next = allotmentFrom(value.value)) {
         allotted = std::move(*next);
     }
 }
 
-void cluster_state::private_data::takeSummary(const shared_register &value, instant now)
+void cluster_state::private_data::applySummary(const shared_register &value, instant now)
 {
     auto summary = dataCentreSummaryFrom(value.value);
     if (!summary) {
         return;
     }
     if (summary->dataCentre == settings.dataCentre) {
-        // It tells of daemons of the own data centre, which a daemon whose first contacts are elsewhere learns in no other way.
-        neighbours = summary->members;
+        // The summary lists the daemons of this data centre. A daemon with seed peers only in other data centres has no other way to
+        // find them.
+        localMembers = summary->members;
         return;
     }
-    heard[summary->dataCentre] = now;
+    dataCentreReportedAt[summary->dataCentre] = now;
     summaries[summary->dataCentre] = std::move(*summary);
 }
 
-void cluster_state::private_data::takeRegister(const std::string &name, instant now)
+void cluster_state::private_data::applyRegister(const std::string &name, instant now)
 {
     const auto &value = *findRegister(exchange, name);
     if (name == exchange_names::configuration) {
-        takeConfiguration(value);
+        applyConfiguration(value);
     } else if (name == exchange_names::allotment) {
-        takeAllotment(value);
+        applyAllotment(value);
     } else if (name == exchange_names::instanceList) {
         applyInstanceList(tracker, instanceListFrom(value.value));
     } else if (name.starts_with(exchange_names::summaryPrefix)) {
-        takeSummary(value, now);
+        applySummary(value, now);
     } else if (name.starts_with(exchange_names::alivePrefix)) {
-        heard[data_centre_id(name.substr(std::string(exchange_names::alivePrefix).size()))] = now;
+        dataCentreReportedAt[data_centre_id(name.substr(std::string(exchange_names::alivePrefix).size()))] = now;
     }
     isDirty = true;
 }
 
-void cluster_state::private_data::takeWords(instant now)
+void cluster_state::private_data::mergeObservations(instant now)
 {
     const auto live = liveMembers(exchange, now);
     std::vector<instance_observation> observations;
     for (const auto &[id, tracked] : tracker.instances) {
-        if (toldStates.contains(id) && observerOf(id, live) == settings.daemon) {
-            // What this daemon sees itself is newer than what it has told.
+        if (publishedStates.contains(id) && observerOf(id, live) == settings.daemon) {
+            // This daemon's own probes are newer than what it has published.
             continue;
         }
-        if (auto word = wordOn(exchange, id, live, now)) {
-            lastWords[id] = now;
-            observations.push_back(std::move(*word));
-        } else if (tracked.lastState && now - lastWords[id] > wordGrace) {
-            // Whoever saw it last is gone, or was started anew, and nobody has seen it since.
+        if (auto reported = selectObservation(exchange, id, live, now)) {
+            lastObservedAt[id] = now;
+            observations.push_back(std::move(*reported));
+        } else if (tracked.lastState && now - lastObservedAt[id] > unobservedGrace) {
+            // The daemon that last observed the instance has died or restarted, and no other daemon has observed it since.
             observations.push_back({id, std::nullopt});
         }
     }
@@ -130,23 +132,23 @@
     return true;
 }
 
-void cluster_state::private_data::noteStandings(instant now)
+void cluster_state::private_data::recordGroupStates(instant now)
 {
     std::set<group_id> present;
     for (const auto &group : allotted.groups) {
         present.insert(group.id);
-        const auto standing = groupStateOf(group, tracker);
-        const auto [known, isNew] = standings.try_emplace(group.id, seen_standing{standing, now});
-        if (!isNew && known->second.standing != standing) {
-            clusterLog.info("A group changed its standing. group={} generation={} from={} to={}",
+        const auto state = groupStateOf(group, tracker);
+        const auto [known, isNew] = groupStates.try_emplace(group.id, recorded_group_state{state, now});
+        if (!isNew && known->second.state != state) {
+            clusterLog.info("The state of a group changed. group={} generation={} from={} to={}",
                             group.id.value(),
                             group.current.value(),
-                            groupStateName(known->second.standing),
-                            groupStateName(standing));
-            known->second = {standing, now};
+                            groupStateName(known->second.state),
+                            groupStateName(state));
+            known->second = {state, now};
         }
     }
-    std::erase_if(standings, [&](const auto &entry) { return !present.contains(entry.first); });
+    std::erase_if(groupStates, [&](const auto &entry) { return !present.contains(entry.first); });
 }
 
 bool cluster_state::private_data::areSharesKnown(instant now) const
@@ -173,8 +175,8 @@
 
 bool cluster_state::private_data::isLost(const data_centre_id &dataCentre, instant now) const
 {
-    const auto known = heard.find(dataCentre);
-    return known == heard.end() || now - known->second > lostDataCentreAfter;
+    const auto known = dataCentreReportedAt.find(dataCentre);
+    return known == dataCentreReportedAt.end() || now - known->second > lostDataCentreAfter;
 }
 
 } // namespace vetchpost
--- a/Libraries/Daemon/cluster_state_data.h
+++ b/Libraries/Daemon/cluster_state_data.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "Libraries/Daemon/cluster_state.h"
-#include "Libraries/Daemon/instance_words.h"
+#include "Libraries/Daemon/instance_observations.h"
 #include "Libraries/Daemon/snapshot_builder.h"
 
 #include <map>
@@ -10,53 +10,62 @@
 
 namespace vetchpost {
 
-/// How a group stood when it was last looked at, and since when.
-struct seen_standing
+/// The state of a group at the last check, and when the group entered it.
+struct recorded_group_state
 {
-    group_state standing = group_state::broken;
+    group_state state = group_state::broken;
     instant since;
 };
 
-/// What a cluster_state knows, and how it takes in what others tell. The mutex is held in all functions.
+/// The data of a cluster_state, and the functions that apply what other daemons send. The caller of each function holds the mutex.
 struct cluster_state::private_data
 {
     daemon_settings settings;
     mutable std::mutex mutex;
     exchange_state exchange;
-    about_daemon about;
+    /// This daemon's own description, published as a fact.
+    daemon_description description;
     instance_tracker tracker;
     allotment allotted;
     configuration_head head;
     std::shared_ptr<const configuration> wanted;
     std::map<data_centre_id, data_centre_summary> summaries;
-    /// When each other data centre was last heard of.
-    std::map<data_centre_id, instant> heard;
-    /// The daemons of the own data centre by its coordinator's summary.
-    std::vector<summarised_member> neighbours;
+    /// When the last summary or sign of life of each other data centre arrived.
+    std::map<data_centre_id, instant> dataCentreReportedAt;
+    /// The daemons of this data centre, as listed in its coordinator's summary.
+    std::vector<summarised_member> localMembers;
     snapshot_builder builder;
     rcu_snapshot<routing_snapshot> snapshot;
-    std::map<group_id, seen_standing> standings;
-    std::map<instance_id, told_state> toldStates;
-    /// When anybody's word on an instance was last known.
-    std::map<instance_id, instant> lastWords;
+    std::map<group_id, recorded_group_state> groupStates;
+    /// The last observations of instances that this daemon published.
+    std::map<instance_id, published_state> publishedStates;
+    /// When a usable observation of each instance by any daemon was last known.
+    std::map<instance_id, instant> lastObservedAt;
     bool isDirty = true;
     instant lastMembershipCheck;
-    /// The first beat of this run.
+    /// When this daemon first advanced its heartbeat.
     std::optional<instant> startedAt;
 
-    void publishAbout();
-    std::optional<about_daemon> aboutOf(const daemon_id &daemon) const;
-    void takeConfiguration(const shared_register &value);
-    void takeAllotment(const shared_register &value);
-    void takeSummary(const shared_register &value, instant now);
-    void takeRegister(const std::string &name, instant now);
-    void takeWords(instant now);
-    /// Whether the groups are known and every member has been heard of.
+    void publishDescription();
+    /// The description that a daemon published. Nothing if there is none or it cannot be parsed.
+    std::optional<daemon_description> descriptionOf(const daemon_id &daemon) const;
+    /// Puts a published configuration in force if it is newer than the current one and can be read.
+    void applyConfiguration(const shared_register &value);
+    void applyAllotment(const shared_register &value);
+    void applySummary(const shared_register &value, instant now);
+    /// Applies the current value of a register that has changed.
+    void applyRegister(const std::string &name, instant now);
+    /// Updates the tracker with the observations that other daemons published, except for the instances that this daemon probes.
+    void mergeObservations(instant now);
+    /// Whether the groups are known and each member has either reported a state or been found missing.
     bool hasHeardOfGroups() const;
-    void noteStandings(instant now);
-    /// Shares are reckoned only with the own instances at hand, and after the other data centres had time to be heard of.
+    /// Records the state of each group and logs the changes.
+    void recordGroupStates(instant now);
+    /// Whether the shares can be computed: the instance list is known, and the other data centres had time to send their summaries.
     bool areSharesKnown(instant now) const;
+    /// The number of replicas of a deployment that this data centre runs.
     int shareOf(const deployment &wantedDeployment, const data_centre_summary &own, instant now) const;
+    /// Whether a data centre has been silent for so long that the others take over its replicas.
     bool isLost(const data_centre_id &dataCentre, instant now) const;
 };
 
--- a/Libraries/Daemon/configuration_service.cpp
+++ b/Libraries/Daemon/configuration_service.cpp
@@ -16,14 +16,14 @@
 
 constexpr part_log configurationLog("configuration");
 constexpr duration watchWait(30000);
-constexpr duration idlePause(500);
-constexpr duration longestPause(15000);
-/// Peers are asked first; only then, one daemon after another, the service itself.
-constexpr duration firstAskAfter(3000);
-constexpr int mostAcceptTries = 20;
-constexpr duration acceptPause(250);
-/// The service's values end at a megabyte; the history and the escapes of JSON need room beside the text.
-constexpr std::size_t largestText = 700U * 1024U;
+constexpr duration pollInterval(500);
+constexpr duration maxRetryDelay(15000);
+/// How long a daemon that has just started waits for its peers' configuration before it reads the key-value service itself.
+constexpr duration peerConfigurationWait(3000);
+constexpr int maxAcceptAttempts = 20;
+constexpr duration acceptRetryDelay(250);
+/// The key-value service limits a value to one megabyte, which must also hold the edit history and the JSON escapes.
+constexpr std::size_t maxConfigurationSize = 700U * 1024U;
 
 } // namespace
 
@@ -39,7 +39,7 @@
     std::thread thread;
     std::mt19937_64 random{std::random_device()()};
 
-    /// False once the service stops.
+    /// Waits for the given time. Returns false at once if the service is stopping.
     bool pause(duration time)
     {
         std::unique_lock lock(mutex);
@@ -47,12 +47,14 @@
         return !isStopping;
     }
 
+    /// A random duration between half the given time and all of it.
     duration jittered(duration time)
     {
         return duration(std::uniform_int_distribution<std::int64_t>(time.count() / 2, time.count())(random));
     }
 
-    void take(const key_value_entry &entry)
+    /// Publishes a head from the key-value service to the cluster.
+    void publishHead(const key_value_entry &entry)
     {
         const auto head = configurationHeadFrom(entry.value);
         if (head && head->current > revision()
@@ -61,59 +63,61 @@
         }
     }
 
-    bool readOnce()
+    /// Reads the head and publishes it. Returns false if the key-value service does not answer.
+    bool readConfigurationHead()
     {
         reason why;
         const auto entry = keyValue.get(configurationHeadKey, read_freshness::current, why);
         if (!entry) {
-            configurationLog.warning("The key-value service does not answer. why=\"{}\"", why.text);
+            configurationLog.warning("The key-value service did not answer. why=\"{}\"", why.text);
             return false;
         }
-        take(*entry);
+        publishHead(*entry);
         return true;
     }
 
+    /// Follows the configuration until the service stops.
     void run()
     {
-        duration backoff = idlePause;
-        std::uint64_t seen = 0;
+        duration backoff = pollInterval;
+        std::uint64_t watchedUpTo = 0;
         const auto startedAt = monotonicNow();
-        bool hasAsked = false;
-        while (pause(idlePause)) {
+        bool hasReadHead = false;
+        while (pause(pollInterval)) {
             if (isCoordinating()) {
-                const bool isFresh = seen == 0 ? readOnce() : true;
+                const bool isHeadRead = watchedUpTo == 0 ? readConfigurationHead() : true;
                 reason why;
-                const auto changes = isFresh ? keyValue.watch(configurationHeadKey, seen, watchWait, why) : std::nullopt;
+                const auto changes = isHeadRead ? keyValue.watch(configurationHeadKey, watchedUpTo, watchWait, why) : std::nullopt;
                 if (!changes) {
-                    backoff = std::min(longestPause, backoff * 2);
+                    backoff = std::min(maxRetryDelay, backoff * 2);
                     pause(jittered(backoff));
                     continue;
                 }
-                backoff = idlePause;
-                seen = changes->upTo;
+                backoff = pollInterval;
+                watchedUpTo = changes->upTo;
                 for (const auto &entry : changes->changes) {
-                    take(entry);
+                    publishHead(entry);
                 }
                 continue;
             }
-            seen = 0;
-            const bool isLate = monotonicNow() - startedAt > firstAskAfter;
-            if (!cluster.head() && isLate && !hasAsked) {
-                hasAsked = readOnce();
-                backoff = std::min(longestPause, backoff * 2);
+            watchedUpTo = 0;
+            const bool hasWaitedForPeers = monotonicNow() - startedAt > peerConfigurationWait;
+            if (!cluster.head() && hasWaitedForPeers && !hasReadHead) {
+                hasReadHead = readConfigurationHead();
+                backoff = std::min(maxRetryDelay, backoff * 2);
                 pause(jittered(backoff));
             }
         }
     }
 
-    edit_result refused(error_kind kind, const std::string &text)
+    edit_result makeRefusal(error_kind kind, const std::string &text)
     {
         edit_result result;
         result.why = {kind, text};
         return result;
     }
 
-    edit_result acceptedAs(const configuration_head &head, const edit_id &edit)
+    edit_result makeAcceptance(const configuration_head &head, const edit_id &edit)
     {
         edit_result result;
         result.isAccepted = true;
@@ -158,51 +162,51 @@
 
 edit_result configuration_service::accept(const proposed_edit &edit)
 {
-    if (edit.text.size() > largestText) {
-        return d->refused(error_kind::body_too_large, "the configuration is larger than 700 KiB");
+    if (edit.text.size() > maxConfigurationSize) {
+        return d->makeRefusal(error_kind::body_too_large, "the configuration exceeds the limit of 700 KiB");
     }
     edit_result result;
     if (!readConfiguration(edit.text, "configuration", result.problems)) {
         result.why = {error_kind::invalid_configuration, result.problems.front().text()};
         return result;
     }
-    bool isInDoubt = false;
-    for (int tries = 0; tries < mostAcceptTries; ++tries) {
-        // 1. Where the edit stands is read from the head alone, also after a reply was lost.
+    bool isWriteUnconfirmed = false;
+    for (int attempt = 0; attempt < maxAcceptAttempts; ++attempt) {
+        // 1. Derive the status of the edit from the head alone, which also settles a write whose reply was lost.
         reason why;
         const auto entry = d->keyValue.get(configurationHeadKey, read_freshness::current, why);
         const auto head = entry ? configurationHeadFrom(entry->value) : std::nullopt;
         if (!head) {
-            if (!isInDoubt) {
-                return d->refused(error_kind::platform_unavailable, "the key-value service does not answer; nothing was accepted");
+            if (!isWriteUnconfirmed) {
+                return d->makeRefusal(error_kind::platform_unavailable, "the key-value service did not answer; nothing was accepted");
             }
-            d->pause(acceptPause);
+            d->pause(acceptRetryDelay);
             continue;
         }
-        d->take(*entry);
+        d->publishHead(*entry);
         switch (editStatusOf(edit, *head)) {
         case edit_status::accepted:
-            return d->acceptedAs(*head, edit.edit);
+            return d->makeAcceptance(*head, edit.edit);
         case edit_status::conflicting:
-            result.others = editsSince(*head, edit.base);
-            result.why = {error_kind::edit_conflict, "another edit was accepted since the revision that this one was made for"};
+            result.conflictingEdits = editsSince(*head, edit.base);
+            result.why = {error_kind::edit_conflict, "another edit was accepted after this edit's base revision"};
             return result;
         case edit_status::writable:
             break;
         }
-        // 2. Writing again is harmless: of two writes of this edit at the same revision only one can take effect.
+        // 2. Write the edit. A repeated write is safe: of two writes of this edit at the same revision, only one can take effect.
         const auto next = headAfter(*head, edit);
         const auto written = d->keyValue.compareAndSwap(configurationHeadKey, entry->changed, toText(next));
         if (written.outcome == swap_outcome::applied) {
-            d->take({configurationHeadKey, toText(next), written.changed});
-            return d->acceptedAs(next, edit.edit);
+            d->publishHead({configurationHeadKey, toText(next), written.changed});
+            return d->makeAcceptance(next, edit.edit);
         }
-        isInDoubt = isInDoubt || written.outcome == swap_outcome::unknown;
-        d->pause(acceptPause);
+        isWriteUnconfirmed = isWriteUnconfirmed || written.outcome == swap_outcome::unknown;
+        d->pause(acceptRetryDelay);
     }
-    return d->refused(isInDoubt ? error_kind::internal : error_kind::platform_unavailable,
-                      isInDoubt ? "it is not known whether the edit was accepted: send it again with the same edit id"
-                                : "the key-value service does not answer; nothing was accepted");
+    return d->makeRefusal(isWriteUnconfirmed ? error_kind::internal : error_kind::platform_unavailable,
+                          isWriteUnconfirmed ? "the outcome of the edit is unknown: send it again with the same edit id"
+                                             : "the key-value service did not answer; nothing was accepted");
 }
 
 } // namespace vetchpost
--- a/Libraries/Daemon/coordinator_runner.cpp
+++ b/Libraries/Daemon/coordinator_runner.cpp
@@ -18,10 +18,11 @@
 
 constexpr part_log coordinatorLog("coordinator");
 constexpr duration tickPeriod(200);
-constexpr duration listPeriod(2000);
+constexpr duration platformReadPeriod(2000);
 constexpr duration summaryPeriod(1000);
+/// A sign of life is published once in this many summary periods, also while the summary is unchanged.
 constexpr int summariesPerAlive = 5;
-constexpr std::size_t keptDecisions = 200;
+constexpr std::size_t maxRecordedDecisions = 200;
 
 coordinator_settings settingsFor(const daemon_settings &settings)
 {
@@ -49,12 +50,12 @@
     coordinator_state coordinator;
     weight_store_state store;
     std::deque<planning_decision> decisions;
-    std::vector<listed_instance> lastList;
-    std::string lastSummary;
-    /// Counts what the timer's and the platform's threads publish.
+    std::vector<listed_instance> lastPublishedList;
+    std::string lastPublishedSummary;
+    /// The minor version of the last register published. The timer thread and a worker thread both increment it.
     std::atomic<std::uint64_t> registerCounter = 0;
     int summariesSinceAlive = 0;
-    std::atomic<bool> isListing = false;
+    std::atomic<bool> isReadingPlatform = false;
     bool wasActive = false;
     key_revision publishedRevision;
     counter orders;
@@ -79,59 +80,63 @@
         , weightStore(daemonSettings.weightStore)
         , coordinator(makeCoordinator(settingsFor(daemonSettings)))
         , orders(counters.addCounter("vetchpost_orders_total", "Orders sent to instances."))
-        , takeovers(counters.addCounter("vetchpost_takeovers_total", "Times that this daemon became coordinator."))
-        , planningTime(counters.addTimeHistogram("vetchpost_planning_seconds", "Time of one planning round."))
+        , takeovers(counters.addCounter("vetchpost_takeovers_total", "Number of times that this daemon became coordinator."))
+        , planningTime(counters.addTimeHistogram("vetchpost_planning_seconds", "Duration of one planning round."))
         , groupMetrics(counters)
     {
     }
 
-    /// Runs one step and starts what it asks for.
+    /// Runs one step of the coordinator and starts the actions that it returns.
     void handle(const coordinator_event &event)
     {
         const auto now = monotonicNow();
         const auto tracker = cluster.tracker();
         const auto wants = cluster.wants(now);
-        const bool isAnother = cluster.isAnotherCoordinator(now);
+        const bool hasOtherCoordinator = cluster.hasOtherCoordinator(now);
         std::vector<coordinator_action> actions;
         bool hasPublished = false;
         {
             const std::lock_guard lock(mutex);
             const auto started = std::chrono::steady_clock::now();
-            actions = step(coordinator, event, {tracker, wants, store, isAnother, now, calendarMilliseconds()});
+            actions = step(coordinator, event, {tracker, wants, store, hasOtherCoordinator, now, calendarMilliseconds()});
             planningTime.observe(std::chrono::duration<double>(std::chrono::steady_clock::now() - started).count());
-            keepDecisions();
-            hasPublished = publish(now);
+            recordDecisions();
+            hasPublished = publishCoordination(now);
         }
         if (hasPublished) {
             didChange();
         }
         for (auto &action : actions) {
-            start(std::move(action));
+            startAction(std::move(action));
         }
     }
 
-    void keepDecisions()
+    /// Logs and stores the last step's decisions, except repeated decisions to wait.
+    void recordDecisions()
     {
         for (const auto &decision : coordinator.lastDecisions) {
             const bool isRepeated = decision.action == plan_action::wait
-                && std::any_of(decisions.begin(), decisions.end(), [&](const planning_decision &kept) {
-                                        return kept.group == decision.group && kept.action == plan_action::wait;
+                && std::any_of(decisions.begin(), decisions.end(), [&](const planning_decision &recorded) {
+                                        return recorded.group == decision.group && recorded.action == plan_action::wait;
                                     });
             if (isRepeated) {
                 continue;
             }
-            coordinatorLog.info(
-                "A group's plan. group={} action={} why=\"{}\"", decision.group.value(), planActionName(decision.action), decision.why);
+            coordinatorLog.info("Planned an action for a group. group={} action={} why=\"{}\"",
+                                decision.group.value(),
+                                planActionName(decision.action),
+                                decision.why);
             decisions.push_back(decision);
         }
         coordinator.lastDecisions.clear();
-        while (decisions.size() > keptDecisions) {
+        while (decisions.size() > maxRecordedDecisions) {
             decisions.pop_front();
         }
     }
 
-    /// Tells the data centre of the accepted allotment, and of whether this daemon coordinates.
-    bool publish(instant now)
+    /// Publishes to the data centre whether this daemon coordinates, and the accepted allotment. Returns true if the allotment should be
+    /// sent at once.
+    bool publishCoordination(instant now)
     {
         const bool isNowActive = isActive(coordinator, now);
         if (isNowActive != wasActive) {
@@ -150,7 +155,8 @@
         return cluster.publishRegister({exchange_names::allotment, publishedRevision.value(), 0, toText(coordinator.accepted)});
     }
 
-    void start(coordinator_action action)
+    /// Starts an action on a worker thread.
+    void startAction(coordinator_action action)
     {
         auto &workers = std::holds_alternative<send_order>(action) ? orderWorkers : callWorkers;
         workers.run([this, started = std::move(action)] { std::visit([this](const auto &call) { perform(call); }, started); });
@@ -204,7 +210,7 @@
         answer.instance = call.order.instance;
         answer.ordered = call.order.ordered;
         answer.outcome = order_outcome::not_sent;
-        // The lease is looked at once more right before the order leaves: this thread may have been held up.
+        // Check the lease again right before sending, as this thread may have been delayed since the step.
         bool isAllowed = false;
         {
             const std::lock_guard lock(mutex);
@@ -223,7 +229,7 @@
         return coordinator.accepted.current.value();
     }
 
-    /// Reads the platform's list and the weight store, and passes the list on where it changed.
+    /// Reads the instance list and the state of the weight store, and publishes the list if it has changed.
     void readPlatform()
     {
         reason why;
@@ -231,31 +237,32 @@
         if (list) {
             std::sort(list->begin(), list->end(), [](const auto &left, const auto &right) { return left.id < right.id; });
             const auto text = instanceListText(*list);
-            if (instanceListText(lastList) != text) {
-                lastList = *list;
+            if (instanceListText(lastPublishedList) != text) {
+                lastPublishedList = *list;
                 cluster.publishRegister({exchange_names::instanceList, currentEpoch(), ++registerCounter, text});
                 didChange();
             }
         } else {
-            coordinatorLog.warning("The instance list does not answer. why=\"{}\"", why.text);
+            coordinatorLog.warning("Cannot read the instance list. why=\"{}\"", why.text);
         }
         if (const auto state = weightStore.state(why)) {
             const std::lock_guard lock(mutex);
             store = *state;
         }
-        isListing = false;
+        isReadingPlatform = false;
     }
 
+    /// Publishes the summary of this data centre if it has changed, and a sign of life in every few periods.
     void publishSummary(instant now)
     {
         if (!cluster.tracker().hasInstanceList) {
-            // Without the list it would tell the other data centres that there is no room here, and they would take the replicas over.
+            // Without the instance list, the summary would report no capacity, and the other data centres would take the replicas over.
             return;
         }
         const auto text = toText(cluster.ownSummary(now));
         const auto name = settings.dataCentre.value();
-        if (text != lastSummary) {
-            lastSummary = text;
+        if (text != lastPublishedSummary) {
+            lastPublishedSummary = text;
             cluster.publishRegister({exchange_names::summaryPrefix + name, currentEpoch(), ++registerCounter, text});
             didChange();
         }
@@ -282,8 +289,8 @@
 void coordinator_runner::subscribeTo(timer_service &timers)
 {
     timers.subscribe("coordinator", tickPeriod, [this](instant /*now*/) { d->handle(coordinator_tick{}); });
-    timers.subscribe("platform", listPeriod, [this](instant /*now*/) {
-        if (isCoordinating() && !d->isListing.exchange(true)) {
+    timers.subscribe("platform", platformReadPeriod, [this](instant /*now*/) {
+        if (isCoordinating() && !d->isReadingPlatform.exchange(true)) {
             d->orderWorkers.run([this] { d->readPlatform(); });
         }
     });
--- a/Libraries/Daemon/coordinator_runner.h
+++ b/Libraries/Daemon/coordinator_runner.h
@@ -14,12 +14,13 @@
 
 namespace vetchpost {
 
-/// Runs the coordinator's decisions: turns its actions into calls and their answers into events. While it is active it also
-/// reads the instance list and the weight store, and speaks for its data centre.
+/// Drives the coordinator's state machine: performs its actions as calls and feeds the replies back as events. While this daemon is the
+/// coordinator, it also reads the instance list and the weight store, and publishes the summary of its data centre.
 class coordinator_runner
 {
 public:
-    /// Orders go out on threads of their own: a frozen engine must not hold up the renewal of the lease.
+    /// Orders are sent from \a orderWorkers and not from \a callWorkers, so that a frozen engine cannot delay the renewal of the lease.
+    /// \a didChange is called when a change should be sent to the peers at once.
     coordinator_runner(const daemon_settings &settings,
                        cluster_state &cluster,
                        key_value_client &keyValue,
@@ -31,9 +32,11 @@
     coordinator_runner(const coordinator_runner &) = delete;
     coordinator_runner &operator=(const coordinator_runner &) = delete;
 
+    /// Registers the periodic work; call once.
     void subscribeTo(timer_service &timers);
-    /// The last decisions on groups, for operators; empty while another daemon coordinates.
+    /// The last decisions of this daemon's coordinator about groups, oldest first. Empty if this daemon has never coordinated.
     std::vector<planning_decision> decisions() const;
+    /// Whether this daemon is the coordinator of its data centre at this moment.
     bool isCoordinating() const;
 
 private:
--- a/Libraries/Daemon/daemon.cpp
+++ b/Libraries/Daemon/daemon.cpp
@@ -25,9 +25,9 @@
 constexpr int operatorThreads = 8;
 constexpr int peerThreads = 48;
 constexpr duration snapshotPeriod(50);
-constexpr duration stopPoll(50);
-/// So long the platform's balancer may take to see that this daemon is not ready.
-constexpr duration notReadyTime(2000);
+constexpr duration drainPollPeriod(50);
+/// How long the platform's load balancer may take to notice that this daemon is not ready.
+constexpr duration notReadyGrace(2000);
 
 incarnation newIncarnation()
 {
@@ -58,7 +58,7 @@
     metrics counters;
     cluster_state cluster;
     key_value_client keyValue;
-    // Pools of their own, so that peers or engines that do not answer hold up neither the lease nor each other.
+    // Separate pools, so that peers or engines that do not answer cannot delay the lease renewal or each other.
     worker_pool peerWorkers{peerCallThreads};
     worker_pool platformWorkers{platformThreads};
     worker_pool orderWorkers{orderThreads};
@@ -86,10 +86,10 @@
         , admissions(cluster.routing(), rests, counters)
         , claims(settings, keyValue, counters, platformWorkers)
         , context{settings, cluster, rests, admissions, claims, peers, counters, request_counters(counters)}
-        , coordinator(settings, cluster, keyValue, counters, platformWorkers, orderWorkers, [this] { peers.spreadNow(); })
+        , coordinator(settings, cluster, keyValue, counters, platformWorkers, orderWorkers, [this] { peers.exchangeNow(); })
         , configurations(
-              cluster, keyValue, [this] { return coordinator.isCoordinating(); }, [this] { peers.spreadNow(); })
-        , observations(settings, cluster, counters, observerWorkers, [this] { peers.spreadNow(); })
+              cluster, keyValue, [this] { return coordinator.isCoordinating(); }, [this] { peers.exchangeNow(); })
+        , observations(settings, cluster, counters, observerWorkers, [this] { peers.exchangeNow(); })
         , callers(context, run)
         , operators(context, configurations, coordinator)
         , peerServer(settings.peers, fixedLimits(peerThreads), [this](http_exchange &exchange) { peers.handle(exchange); })
@@ -119,7 +119,7 @@
     });
     d->timers.start();
     d->configurations.start();
-    daemonLog.info("The daemon runs. daemon={} data_centre={} callers={}",
+    daemonLog.info("The daemon is running. daemon={} data_centre={} callers={}",
                    d->settings.daemon.value(),
                    d->settings.dataCentre.value(),
                    d->settings.callers.text());
@@ -127,20 +127,20 @@
 
 void vetchpost_daemon::stop()
 {
-    // 1. Not ready: the balancer sends new callers elsewhere, while those that still come are served.
-    daemonLog.info("The daemon stops. active={}", d->callerServer.activeRequests());
+    // 1. Report not ready. The load balancer sends new requests elsewhere; requests that still arrive are served.
+    daemonLog.info("The daemon is stopping. active={}", d->callerServer.activeRequests());
     d->callers.setNotReady();
     d->cluster.setStopping();
-    sleepUntil(monotonicNow() + notReadyTime);
-    // 2. No new work; what runs goes on to its end.
+    sleepUntil(monotonicNow() + notReadyGrace);
+    // 2. Refuse new requests and drain those in flight.
     d->callers.refuseNewRequests();
     d->callerServer.stopAccepting();
     const auto deadline = monotonicNow() + d->settings.drainTimeout;
     while (d->callerServer.activeRequests() > 0 && monotonicNow() < deadline) {
-        std::this_thread::sleep_for(stopPoll);
+        std::this_thread::sleep_for(drainPollPeriod);
     }
-    daemonLog.info("The daemon has served what it held. left={}", d->callerServer.activeRequests());
-    // 3. The rest ends.
+    daemonLog.info("The daemon has drained its requests. left={}", d->callerServer.activeRequests());
+    // 3. Stop the servers, the services and the worker pools.
     d->callerServer.stopAll();
     d->operatorServer.stopAll();
     d->peerServer.stopAll();
--- a/Libraries/Daemon/data_centre_summary.cpp
+++ b/Libraries/Daemon/data_centre_summary.cpp
@@ -7,20 +7,20 @@
 
 namespace {
 
-Json::Value toJson(const about_daemon &about)
+Json::Value toJson(const daemon_description &description)
 {
     Json::Value json;
-    json["data_centre"] = about.dataCentre.value();
-    json["callers"] = about.callers.text();
-    json["operators"] = about.operators.text();
-    json["peers"] = about.peers.text();
-    json["in_force"] = Json::UInt64(about.inForce.value());
-    json["coordinates"] = about.isCoordinator;
-    json["stopping"] = about.isStopping;
+    json["data_centre"] = description.dataCentre.value();
+    json["callers"] = description.callers.text();
+    json["operators"] = description.operators.text();
+    json["peers"] = description.peers.text();
+    json["in_force"] = Json::UInt64(description.inForce.value());
+    json["coordinates"] = description.isCoordinator;
+    json["stopping"] = description.isStopping;
     return json;
 }
 
-std::optional<about_daemon> aboutFrom(const Json::Value &json)
+std::optional<daemon_description> descriptionFrom(const Json::Value &json)
 {
     const auto callers = parseEndpoint(jsonString(json, "callers"));
     const auto operators = parseEndpoint(jsonString(json, "operators"));
@@ -28,15 +28,15 @@
     if (!callers || !operators || !peers) {
         return std::nullopt;
     }
-    about_daemon about;
-    about.dataCentre = data_centre_id(jsonString(json, "data_centre"));
-    about.callers = *callers;
-    about.operators = *operators;
-    about.peers = *peers;
-    about.inForce = revision(jsonNumber(json, "in_force"));
-    about.isCoordinator = jsonFlag(json, "coordinates");
-    about.isStopping = jsonFlag(json, "stopping");
-    return about;
+    daemon_description description;
+    description.dataCentre = data_centre_id(jsonString(json, "data_centre"));
+    description.callers = *callers;
+    description.operators = *operators;
+    description.peers = *peers;
+    description.inForce = revision(jsonNumber(json, "in_force"));
+    description.isCoordinator = jsonFlag(json, "coordinates");
+    description.isStopping = jsonFlag(json, "stopping");
+    return description;
 }
 
 Json::Value listJson(const std::vector<listed_instance> &list)
@@ -61,15 +61,15 @@
 
 } // namespace
 
-std::string toText(const about_daemon &about)
+std::string toText(const daemon_description &description)
 {
-    return toJsonText(toJson(about));
+    return toJsonText(toJson(description));
 }
 
-std::optional<about_daemon> aboutDaemonFrom(const std::string &text)
+std::optional<daemon_description> daemonDescriptionFrom(const std::string &text)
 {
     const auto json = parseJson(text);
-    return json ? aboutFrom(*json) : std::nullopt;
+    return json ? descriptionFrom(*json) : std::nullopt;
 }
 
 std::string toText(const data_centre_summary &summary)
@@ -78,7 +78,7 @@
     json["data_centre"] = summary.dataCentre.value();
     json["members"] = Json::Value(Json::arrayValue);
     for (const auto &member : summary.members) {
-        auto entry = toJson(member.about);
+        auto entry = toJson(member.description);
         entry["daemon"] = member.daemon.value();
         entry["liveness"] = member.liveness;
         json["members"].append(entry);
@@ -109,9 +109,9 @@
     data_centre_summary summary;
     summary.dataCentre = data_centre_id(jsonString(*json, "data_centre"));
     for (const auto &entry : jsonArray(*json, "members")) {
-        if (auto about = aboutFrom(entry)) {
+        if (auto description = descriptionFrom(entry)) {
             summary.members.push_back(
-                {daemon_id(jsonString(entry, "daemon")), std::move(*about), static_cast<int>(jsonNumber(entry, "liveness"))});
+                {daemon_id(jsonString(entry, "daemon")), std::move(*description), static_cast<int>(jsonNumber(entry, "liveness"))});
         }
     }
     for (const auto &entry : jsonArray(*json, "groups")) {
--- a/Libraries/Daemon/group_metrics.h
+++ b/Libraries/Daemon/group_metrics.h
@@ -10,20 +10,21 @@
 
 namespace vetchpost {
 
-/// What the users measure, counted by the coordinator of a data centre: group downtime and stranded accelerators.
+/// The metrics of the groups of a data centre, such as downtime, repair time and stranded accelerators. Updated on the coordinator.
 class group_metrics
 {
 public:
     explicit group_metrics(metrics &counters);
 
-    /// Takes in how things stand now; what held since the last call is added up.
+    /// Sets the gauges to the current state, and adds the time since the last call to the downtime and stranded time counters.
     void update(const std::vector<group_status> &groups,
                 const std::optional<std::vector<deployment_want>> &wants,
                 const instance_tracker &tracker,
                 instant now);
 
 private:
-    void noteRepairs(const std::vector<group_status> &groups, instant now);
+    /// Records the repair time of each group that serves again, and when each other group stopped serving.
+    void recordRepairs(const std::vector<group_status> &groups, instant now);
 
     std::array<gauge, 4> m_groups;
     gauge m_missing;
@@ -33,7 +34,7 @@
     histogram m_repairs;
     gauge m_staleOrders;
     std::map<group_id, instant> m_downSince;
-    std::optional<instant> m_last;
+    std::optional<instant> m_lastUpdate;
 };
 
 } // namespace vetchpost
--- a/Libraries/Daemon/observer.h
+++ b/Libraries/Daemon/observer.h
@@ -11,20 +11,18 @@
 
 namespace vetchpost {
 
-/// Asks this daemon's share of the instances for their state, once a period, and tells the others what changed.
+/// Probes the state of this daemon's share of the instances once per observation period and publishes the results.
 class observer
 {
 public:
-    /// \a didSeeChange is called when others should hear at once.
-    observer(const daemon_settings &settings,
-             cluster_state &cluster,
-             metrics &counters,
-             worker_pool &workers,
-             std::function<void()> didSeeChange);
+    /// \a didChange is called when a change should be sent to the other daemons at once.
+    observer(
+        const daemon_settings &settings, cluster_state &cluster, metrics &counters, worker_pool &workers, std::function<void()> didChange);
     ~observer();
     observer(const observer &) = delete;
     observer &operator=(const observer &) = delete;
 
+    /// Registers the periodic probes; call once.
     void subscribeTo(timer_service &timers);
 
 private:
--- a/Libraries/Daemon/operator_interface.cpp
+++ b/Libraries/Daemon/operator_interface.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::size_t largestBody = 1U << 20U;
+constexpr std::size_t maxBodySize = 1U << 20U;
 constexpr duration bodyTimeout(10000);
 constexpr duration forwardTimeout(2000);
 constexpr auto decisionsMethod = "decisions";
@@ -24,7 +24,7 @@
     return fmt::format("\"{}\"", value.value());
 }
 
-/// The revision in an If-Match header.
+/// Parses the revision in an If-Match header. Returns nothing if the header is malformed.
 std::optional<revision> revisionFrom(const std::string &tag)
 {
     std::uint64_t value = 0;
@@ -50,12 +50,12 @@
 {
     Json::Value json;
     json["daemon"] = member.daemon.value();
-    json["data_centre"] = member.about.dataCentre.value();
+    json["data_centre"] = member.description.dataCentre.value();
     json["liveness"] = std::string(livenessNames.at(static_cast<std::size_t>(member.liveness)));
-    json["in_force"] = Json::UInt64(member.about.inForce.value());
-    json["coordinates"] = member.about.isCoordinator;
-    json["stopping"] = member.about.isStopping;
-    json["operators"] = member.about.operators.text();
+    json["in_force"] = Json::UInt64(member.description.inForce.value());
+    json["coordinates"] = member.description.isCoordinator;
+    json["stopping"] = member.description.isStopping;
+    json["operators"] = member.description.operators.text();
     json["asked"] = member.daemon == self;
     return json;
 }
@@ -66,8 +66,8 @@
     json["group"] = status.group.id.value();
     json["deployment"] = status.group.deployment.value();
     json["generation"] = Json::UInt64(status.group.current.value());
-    json["standing"] = std::string(groupStateName(status.standing));
-    json["standing_seconds"] = Json::Int64(std::chrono::duration_cast<std::chrono::seconds>(status.standingFor).count());
+    json["standing"] = std::string(groupStateName(status.state));
+    json["standing_seconds"] = Json::Int64(std::chrono::duration_cast<std::chrono::seconds>(status.timeInState).count());
     json["domain"] = status.group.members.front().domain.value();
     json["model"] = status.group.choice.model;
     json["version"] = status.group.choice.version;
@@ -140,17 +140,19 @@
     {
         const auto base = revisionFrom(exchange.header("If-Match"));
         if (!base) {
-            refuse(exchange, {error_kind::precondition_required, "If-Match must name the revision that the edit was made for"});
+            refuse(exchange, {error_kind::precondition_required, "the header If-Match must hold the base revision of the edit"});
             return;
         }
         proposed_edit edit;
         edit.edit = edit_id(exchange.header("X-Edit-Id"));
         if (edit.edit.isEmpty()) {
-            refuse(exchange, {error_kind::malformed_request, "X-Edit-Id must name the edit, so that a lost reply can be settled"});
+            refuse(exchange,
+                   {error_kind::malformed_request,
+                    "the header X-Edit-Id must identify the edit, so that a retry after a lost reply is recognised"});
             return;
         }
         reason why;
-        auto text = exchange.readBody(largestBody, bodyTimeout, why);
+        auto text = exchange.readBody(maxBodySize, bodyTimeout, why);
         if (!text) {
             refuse(exchange, why);
             return;
@@ -159,10 +161,10 @@
         edit.author = exchange.header("X-Author");
         edit.text = std::move(*text);
         edit.atMilliseconds = calendarMilliseconds();
-        answerEdit(exchange, configurations.accept(edit));
+        sendEditResult(exchange, configurations.accept(edit));
     }
 
-    void answerEdit(http_exchange &exchange, const edit_result &result)
+    void sendEditResult(http_exchange &exchange, const edit_result &result)
     {
         if (result.isAccepted) {
             Json::Value json;
@@ -179,7 +181,7 @@
         for (const auto &problem : result.problems) {
             json["problems"].append(problem.text());
         }
-        for (const auto &edit : result.others) {
+        for (const auto &edit : result.conflictingEdits) {
             json["other_edits"].append(toJson(edit));
         }
         exchange.send(answer.httpStatus, "application/json", toJsonText(json));
@@ -203,12 +205,12 @@
             entry["tokens_per_second"] = queue.drainRate;
             json["queues"].append(entry);
         }
-        addShortage(json);
+        addShortages(json);
         sendJson(exchange, json);
     }
 
-    /// What is accepted but cannot be met is said.
-    void addShortage(Json::Value &json)
+    /// Adds the deployments that have fewer serving replicas here than this data centre's share.
+    void addShortages(Json::Value &json)
     {
         json["shortages"] = Json::Value(Json::arrayValue);
         const auto groups = context.cluster.groups(monotonicNow());
@@ -216,7 +218,7 @@
         for (const auto &want : wants.value_or(std::vector<deployment_want>())) {
             int serving = 0;
             for (const auto &status : groups) {
-                serving += status.group.deployment == want.wanted.id && status.standing == group_state::serving ? 1 : 0;
+                serving += status.group.deployment == want.wanted.id && status.state == group_state::serving ? 1 : 0;
             }
             if (want.replicas && serving < *want.replicas) {
                 Json::Value entry;
@@ -237,6 +239,7 @@
         sendJson(exchange, json);
     }
 
+    /// This daemon's decisions about a group, or about all groups if \a group is empty.
     Json::Value ownDecisions(const std::string &group) const
     {
         Json::Value json(Json::arrayValue);
@@ -248,18 +251,19 @@
         return json;
     }
 
-    /// The decisions on a group: the coordinator has them.
+    /// Sends the decisions about a group. A daemon that does not coordinate fetches them from the coordinator of its data centre, and falls
+    /// back to its own.
     void showDecisions(http_exchange &exchange)
     {
         const auto group = exchange.queryParameter("group");
         if (!coordinator.isCoordinating()) {
             for (const auto &member : context.cluster.members(monotonicNow())) {
-                if (!member.about.isCoordinator || member.about.dataCentre != context.settings.dataCentre) {
+                if (!member.description.isCoordinator || member.description.dataCentre != context.settings.dataCentre) {
                     continue;
                 }
                 Json::Value parameters;
                 parameters["group"] = group;
-                if (const auto reply = context.peers.call(member.about.peers, decisionsMethod, parameters, forwardTimeout)) {
+                if (const auto reply = context.peers.call(member.description.peers, decisionsMethod, parameters, forwardTimeout)) {
                     sendJson(exchange, *reply);
                     return;
                 }
@@ -268,7 +272,8 @@
         sendJson(exchange, ownDecisions(group));
     }
 
-    void answerKnownPath(http_exchange &exchange)
+    /// Dispatches an authorised request by path and method.
+    void dispatchRequest(http_exchange &exchange)
     {
         const auto &path = exchange.path();
         const auto &method = exchange.method();
@@ -285,7 +290,7 @@
         } else if (path == "/v1/decisions" && method == "GET") {
             showDecisions(exchange);
         } else {
-            refuse(exchange, {error_kind::unknown_path, "there is nothing at this path"});
+            refuse(exchange, {error_kind::unknown_path, "the operators' interface has no such path and method"});
         }
     }
 };
@@ -306,10 +311,10 @@
         return;
     }
     if (!isSameSecret(exchange.header("Authorization"), "Bearer " + d->context.settings.operatorToken)) {
-        d->refuse(exchange, {error_kind::unauthorised, "the operators' interface needs the operators' token"});
+        d->refuse(exchange, {error_kind::unauthorised, "the operators' interface requires the operators' token"});
         return;
     }
-    d->answerKnownPath(exchange);
+    d->dispatchRequest(exchange);
 }
 
 } // namespace vetchpost
--- a/Libraries/Daemon/operator_interface.h
+++ b/Libraries/Daemon/operator_interface.h
@@ -10,7 +10,7 @@
 
 namespace vetchpost {
 
-/// The listener of the operators: configuration, status, metrics.
+/// Handles the requests of the operators' interface: configuration, status, groups, decisions and metrics.
 class operator_interface
 {
 public:
@@ -19,6 +19,7 @@
     operator_interface(const operator_interface &) = delete;
     operator_interface &operator=(const operator_interface &) = delete;
 
+    /// Handles one request. All paths except /metrics require the operators' token.
     void handle(http_exchange &exchange);
 
 private:
--- a/Libraries/Daemon/peer_service.cpp
+++ b/Libraries/Daemon/peer_service.cpp
@@ -31,8 +31,8 @@
     std::unique_ptr<peer_rpc_server> rpc;
     std::mutex randomMutex;
     std::mt19937_64 random{std::random_device()()};
-    std::atomic<bool> isSpreading = false;
-    std::atomic<bool> mustSpreadAgain = false;
+    std::atomic<bool> isExchanging = false;
+    std::atomic<bool> mustExchangeAgain = false;
     counter exchanges;
     counter failures;
     counter sentBytes;
@@ -50,6 +50,7 @@
     {
     }
 
+    /// Sends a message to a peer and receives the reply. Returns false if the call fails.
     bool transport(const endpoint &peer, duration timeout, const std::string &message, std::string &reply)
     {
         http_call call;
@@ -79,13 +80,13 @@
         return jsonFlag(parameters, "wide") ? exchange_scope::wide : exchange_scope::data_centre;
     }
 
-    /// The method "exchange": takes the caller's digest, and gives what it lacks and the own digest.
+    /// Implements the method "exchange": applies the caller's digest, and returns the data that the caller lacks and this daemon's digest.
     Json::Value answerExchange(const Json::Value &parameters)
     {
         const auto digest = exchangeDigestFrom(parameters["digest"]);
         const auto scope
             = jsonString(parameters, "data_centre") == settings.dataCentre.value() ? scopeFrom(parameters) : exchange_scope::wide;
-        cluster.takeDigest(digest, monotonicNow());
+        cluster.receiveDigest(digest, monotonicNow());
         Json::Value result;
         result["delta"] = toJson(cluster.delta(digest, scope));
         result["digest"] = toJson(cluster.digest(scope));
@@ -93,10 +94,10 @@
         return result;
     }
 
-    /// The method "deliver": takes in what this daemon lacked.
+    /// Implements the method "deliver": applies the data that this daemon lacked.
     Json::Value answerDeliver(const Json::Value &parameters)
     {
-        cluster.takeDelta(exchangeDeltaFrom(parameters["delta"]), monotonicNow());
+        cluster.receiveDelta(exchangeDeltaFrom(parameters["delta"]), monotonicNow());
         return Json::Value(Json::objectValue);
     }
 };
@@ -126,22 +127,22 @@
 
 namespace {
 
-/// One exchange: each side gets what it lacks.
+/// Exchanges with one peer: each side receives the facts and registers that it lacks.
 void exchangeWith(peer_service &peers, cluster_state &cluster, const daemon_settings &settings, const peer_address &peer)
 {
-    Json::Value question;
-    question["digest"] = toJson(cluster.digest(peer.scope));
-    question["wide"] = peer.scope == exchange_scope::wide;
-    question["data_centre"] = settings.dataCentre.value();
-    const auto answer = peers.call(peer.address, "exchange", question, exchangeTimeout);
+    Json::Value request;
+    request["digest"] = toJson(cluster.digest(peer.scope));
+    request["wide"] = peer.scope == exchange_scope::wide;
+    request["data_centre"] = settings.dataCentre.value();
+    const auto answer = peers.call(peer.address, "exchange", request, exchangeTimeout);
     if (!answer || !answer->isObject()) {
         return;
     }
     const auto now = monotonicNow();
     const auto theirs = exchangeDigestFrom((*answer)["digest"]);
-    cluster.takeDigest(theirs, now);
-    cluster.takeDelta(exchangeDeltaFrom((*answer)["delta"]), now);
-    // A first contact may turn out to be of another data centre: only wide registers go there.
+    cluster.receiveDigest(theirs, now);
+    cluster.receiveDelta(exchangeDeltaFrom((*answer)["delta"]), now);
+    // A seed peer may turn out to be in another data centre, which is sent only the wide registers.
     const auto scope = jsonString(*answer, "data_centre") == settings.dataCentre.value() ? peer.scope : exchange_scope::wide;
     const auto lacked = cluster.delta(theirs, scope);
     if (!lacked.isEmpty()) {
@@ -156,7 +157,7 @@
 void peer_service::subscribeTo(timer_service &timers)
 {
     timers.subscribe("exchange", d->settings.exchangePeriod, [this](instant now) {
-        d->cluster.beatNow(now);
+        d->cluster.advanceOwnHeartbeat(now);
         std::vector<peer_address> targets;
         {
             const std::lock_guard lock(d->randomMutex);
@@ -168,14 +169,14 @@
     });
 }
 
-void peer_service::spreadNow()
+void peer_service::exchangeNow()
 {
-    // One spread at a time; changes that come meanwhile go with one more after it.
-    if (d->isSpreading.exchange(true)) {
-        d->mustSpreadAgain = true;
+    // Only one such round runs at a time. Changes that arrive during it are sent in one more round after it.
+    if (d->isExchanging.exchange(true)) {
+        d->mustExchangeAgain = true;
         return;
     }
-    d->mustSpreadAgain = false;
+    d->mustExchangeAgain = false;
     const auto candidates = d->cluster.candidates(monotonicNow());
     std::vector<peer_address> targets;
     for (const auto &address : candidates.local) {
@@ -184,25 +185,25 @@
     for (const auto &addresses : candidates.remote) {
         if (!addresses.empty()) {
             const std::lock_guard lock(d->randomMutex);
-            const auto place = std::uniform_int_distribution<std::size_t>(0, addresses.size() - 1)(d->random);
-            targets.push_back({addresses[place], exchange_scope::wide});
+            const auto index = std::uniform_int_distribution<std::size_t>(0, addresses.size() - 1)(d->random);
+            targets.push_back({addresses[index], exchange_scope::wide});
         }
     }
-    const auto left = std::make_shared<std::atomic<std::size_t>>(targets.size());
+    const auto remaining = std::make_shared<std::atomic<std::size_t>>(targets.size());
     const auto finish = [this] {
-        d->isSpreading = false;
-        if (d->mustSpreadAgain.exchange(false)) {
-            spreadNow();
+        d->isExchanging = false;
+        if (d->mustExchangeAgain.exchange(false)) {
+            exchangeNow();
         }
     };
     if (targets.empty()) {
-        d->isSpreading = false;
+        d->isExchanging = false;
         return;
     }
     for (const auto &target : targets) {
-        d->workers.run([this, target, left, finish] {
+        d->workers.run([this, target, remaining, finish] {
             exchangeWith(*this, d->cluster, d->settings, target);
-            if (left->fetch_sub(1) == 1) {
+            if (remaining->fetch_sub(1) == 1) {
                 finish();
             }
         });
@@ -212,7 +213,7 @@
 void peer_service::handle(http_exchange &exchange)
 {
     if (!isSameSecret(exchange.header("Authorization"), "Bearer " + d->settings.peerToken)) {
-        exchange.sendError({error_kind::unauthorised, "the peers' interface needs the peers' token"});
+        exchange.sendError({error_kind::unauthorised, "the peers' interface requires the peers' token"});
         return;
     }
     if (exchange.path() != "/rpc" || exchange.method() != "POST") {
--- a/Libraries/Daemon/peer_service.h
+++ b/Libraries/Daemon/peer_service.h
@@ -14,7 +14,8 @@
 
 namespace vetchpost {
 
-/// Exchanges with the other daemons: one round a period, and at once where something changed that others should hear.
+/// Exchanges facts and registers with the other daemons: in periodic rounds, and at once when a change is urgent. Also carries other
+/// calls between daemons.
 class peer_service
 {
 public:
@@ -23,14 +24,16 @@
     peer_service(const peer_service &) = delete;
     peer_service &operator=(const peer_service &) = delete;
 
-    /// Another method of the interface between daemons; before the first request.
+    /// Adds a method to the interface between daemons. Must be called before the first request arrives.
     void addMethod(const std::string &name, std::function<Json::Value(const Json::Value &)> call);
+    /// Registers the periodic exchange; call once.
     void subscribeTo(timer_service &timers);
-    /// Answers one request of the peers' listener.
+    /// Handles one request of the peers' interface.
     void handle(http_exchange &exchange);
-    /// Exchanges with every live daemon of the data centre, and with one of each other.
-    void spreadNow();
-    /// Calls a method of one peer; nothing where there was no usable reply.
+    /// Starts an exchange with every live daemon of the data centre and with one daemon of each other data centre. If such a round is
+    /// already running, another one follows it.
+    void exchangeNow();
+    /// Calls a method of a peer and waits for the result. Returns nothing if there is no usable reply within the timeout.
     std::optional<Json::Value> call(const endpoint &peer, const std::string &method, const Json::Value &parameters, duration timeout);
 
 private:
--- a/Services/vetchpostd/main.cpp
+++ b/Services/vetchpostd/main.cpp
@@ -28,25 +28,25 @@
   vetchpostd --version
 
 Options:
-  --check             Check the settings file and end.
+  --check             Check the settings file and exit.
   --settings=<file>   The settings file; without it the environment variable VETCHPOST_SETTINGS names it.
   -h --help           Show this text.
   --version           Show the version.
 
-The form with SETTINGS runs on the product's own interfaces; docs/OPERATING.md describes the keys of SETTINGS, a YAML file.
+The form with SETTINGS, a YAML file, runs on the product's own interfaces; docs/OPERATING.md describes its keys.
 The form "entry" runs on a platform whose replicas report themselves; docs/OPERATIONS.md describes its keys.
-SIGTERM stops the daemon as planned: it says not-ready, serves what it holds to the end, then ends.
-SIGHUP reads the settings again: the log level and whether decisions are logged change at once, all else with the next start.
+SIGTERM stops the daemon gracefully: it reports not ready, drains the requests in flight, then exits.
+SIGHUP reads the settings again: the log level and whether decisions are logged change at once, all else at the next start.
 
-Exit codes: 0 stopped as planned, or the settings are good; 1 an address cannot be bound; 2 the settings or arguments are
-wrong.
+Exit codes: 0 stopped gracefully, or the settings are valid; 1 cannot start, for example as an address cannot be bound; 2 the
+settings or arguments are invalid.
 )";
 
 constexpr auto settingsVariable = "VETCHPOST_SETTINGS";
 
-enum exit_code { exit_good = 0, exit_cannot_bind = 1, exit_bad_settings = 2 };
+enum exit_code { exit_success = 0, exit_cannot_bind = 1, exit_bad_settings = 2 };
 
-/// Reads a settings file and prints what is wrong with it.
+/// Reads a settings file and prints its problems to stderr. Returns nothing if the file cannot be read or is invalid.
 template <class Read>
 auto readSettings(const std::string &path, const Read &read) -> decltype(read("", path, std::declval<std::vector<yaml_problem> &>()))
 {
@@ -63,20 +63,21 @@
     return settings;
 }
 
-/// After SIGHUP the settings are read and checked again. The log level changes at once, all else with the next start; settings with
-/// problems change nothing.
+/// Applies the log level of settings that were read again after SIGHUP. All other settings take effect at the next start. Invalid
+/// settings change nothing.
 template <class Settings>
 void reloadLogLevel(const std::optional<Settings> &settings)
 {
     constexpr part_log mainLog("main");
     if (!settings) {
-        mainLog.error("The settings have problems; those at hand stay.");
+        mainLog.error("The new settings are invalid. The current settings stay in effect.");
         return;
     }
     setLogLevel(settings->lowestLogLevel);
     mainLog.info("The settings were read again.");
 }
 
+/// Applies the log level and the event log switch of settings that were read again after SIGHUP, and logs an event about it.
 void reloadEntry(const std::optional<entry_settings> &settings)
 {
     constexpr event_log daemonLog("daemon");
@@ -84,14 +85,14 @@
     if (settings && settings->isLogOn) {
         setEventLogOn(true);
     }
-    // Between the two, so that the log tells when it goes off and when it is on again.
+    // The event is written while the event log is on, so that the log shows when it is switched off and on again.
     daemonLog.write("settings_read", {{"good", settings.has_value()}, {"digest", settings ? settings->digest : std::string()}});
     if (settings) {
         setEventLogOn(settings->isLogOn);
     }
 }
 
-/// Starts the daemon, waits for a signal to stop, and stops it.
+/// Starts the daemon, waits for SIGTERM or SIGINT, and stops it. Calls \a reload on each SIGHUP.
 template <class Daemon, class Reload>
 int runUntilStopped(Daemon &daemon, const sigset_t &signals, const Reload &reload)
 {
@@ -101,10 +102,11 @@
         reload();
     }
     daemon.stop();
-    return exit_good;
+    return exit_success;
 }
 
-/// The signals are blocked before any thread starts, so that only sigwait() takes them.
+/// Blocks the signals that runUntilStopped() waits for, and ignores SIGPIPE. Must run before any thread starts, so that only sigwait()
+/// receives the signals.
 sigset_t blockSignals()
 {
     sigset_t signals;
@@ -117,15 +119,15 @@
     return signals;
 }
 
-int runOwnInterfaces(const std::string &path, bool isCheck)
+int runOwnInterfaces(const std::string &path, bool isCheckOnly)
 {
     const auto settings = readSettings(path, readDaemonSettings);
     if (!settings) {
         return exit_bad_settings;
     }
-    if (isCheck) {
+    if (isCheckOnly) {
         fmt::print("{}: good\n", path);
-        return exit_good;
+        return exit_success;
     }
     setLogLevel(settings->lowestLogLevel);
     const auto signals = blockSignals();
@@ -133,25 +135,27 @@
     return runUntilStopped(daemon, signals, [&] { reloadLogLevel(readSettings(path, readDaemonSettings)); });
 }
 
-int runEntry(const std::string &path, bool isCheck)
+int runEntry(const std::string &path, bool isCheckOnly)
 {
     const auto settings = readSettings(path, readEntrySettings);
     if (!settings) {
         return exit_bad_settings;
     }
-    if (isCheck) {
+    if (isCheckOnly) {
         fmt::print("{}: good\n", path);
-        return exit_good;
+        return exit_success;
     }
     setLogLevel(settings->lowestLogLevel);
     const auto signals = blockSignals();
     const auto makeStore = [](const endpoint &address, metrics &counters) { return std::make_unique<platform_store>(address, counters); };
     entry_daemon daemon(*settings, std::make_unique<platform_dialect>(), makeStore);
     const auto code = runUntilStopped(daemon, signals, [&] { reloadEntry(readSettings(path, readEntrySettings)); });
-    // Threads that still wait for the key-value service hold nothing that could be lost, and the stop grace does not wait for them.
+    // Exit without waiting for threads that are blocked on the key-value service: they hold nothing that could be lost, and the wait could
+    // exceed the platform's grace period for stopping.
     std::_Exit(code);
 }
 
+/// The settings file of the form "entry": the option, else the environment variable. Empty if neither is set.
 std::string entrySettingsPath(const std::map<std::string, docopt::value> &arguments)
 {
     const auto &named = arguments.at("--settings");
@@ -167,10 +171,10 @@
 int main(int argc, char **argv)
 {
     const auto arguments = docopt::docopt(usage, {argv + 1, argv + argc}, true, fmt::format("vetchpostd {}", programVersion));
-    const bool isCheck = arguments.at("--check").asBool();
+    const bool isCheckOnly = arguments.at("--check").asBool();
     try {
-        return arguments.at("entry").asBool() ? runEntry(entrySettingsPath(arguments), isCheck)
-                                              : runOwnInterfaces(arguments.at("SETTINGS").asString(), isCheck);
+        return arguments.at("entry").asBool() ? runEntry(entrySettingsPath(arguments), isCheckOnly)
+                                              : runOwnInterfaces(arguments.at("SETTINGS").asString(), isCheckOnly);
     } catch (const std::exception &error) {
         fmt::print(stderr, "vetchpostd: cannot start: {}\n", error.what());
         return exit_cannot_bind;
