--- a/Libraries/Daemon/model_gateway.cpp
+++ b/Libraries/Daemon/model_gateway.cpp
@@ -167,10 +167,10 @@
         for (;;) {
             const auto limit = std::min(m_request.deadline, last + (isFirst ? maxFirstTokenTime : maxTokenGap));
             const auto wait = stream.nextLine(line, limit, m_callerSocket);
-            if (wait == stream_wait::caller_left) {
+            if (wait == stream_event::caller_left) {
                 return callerDisconnected();
             }
-            if (wait != stream_wait::line) {
+            if (wait != stream_event::line) {
                 return failedAttempt(attempt_failure::broke_off, "the answer broke off");
             }
             const auto chunk = answerChunkFrom(line);
--- a/Libraries/Entry/entry_daemon.cpp
+++ b/Libraries/Entry/entry_daemon.cpp
@@ -7,8 +7,8 @@
 #include "Libraries/Entry/crash_interface.h"
 #include "Libraries/Entry/daemon_metrics.h"
 #include "Libraries/Entry/request_handler.h"
+#include "Libraries/Platform/circuit_breaking_service.h"
 #include "Libraries/Platform/measured_store.h"
-#include "Libraries/Platform/paced_service.h"
 #include "Libraries/Routing/key_revocation_policy.h"
 
 #include <atomic>
@@ -99,8 +99,8 @@
     private_data(const entry_settings &entrySettings, std::unique_ptr<entry_dialect> entryDialect, const store_maker &makeStore)
         : settings(entrySettings)
         , dialect(std::move(entryDialect))
-        , keyValue(std::make_unique<paced_service>(std::make_unique<measured_store>(makeStore(settings.keyValue, counters), counters),
-                                                   dialect->configurationKey()))
+        , keyValue(std::make_unique<circuit_breaking_service>(
+              std::make_unique<measured_store>(makeStore(settings.keyValue, counters), counters), dialect->configurationKey()))
         , store(
               *keyValue,
               *dialect,
--- a/Libraries/Entry/replica_liveness_check.cpp
+++ b/Libraries/Entry/replica_liveness_check.cpp
@@ -36,8 +36,8 @@
 replica_liveness replica_liveness_check::probeNow(const backend &target) const
 {
     const auto port = probePort(target.address, probeTimeout);
-    if (port != port_answer::accepts) {
-        return port == port_answer::refuses ? replica_liveness::terminated : replica_liveness::unknown;
+    if (port != port_probe_result::accepts) {
+        return port == port_probe_result::refuses ? replica_liveness::terminated : replica_liveness::unknown;
     }
     auto call = m_dialect.livenessCall(target.replica, target.address);
     call.connectTimeout = probeTimeout;
--- a/Libraries/Entry/request_answer.cpp
+++ b/Libraries/Entry/request_answer.cpp
@@ -26,32 +26,32 @@
 constexpr int firstServerError = 500;
 
 /// The outcome of an attempt whose wait for data ended with \a wait.
-attempt_outcome outcomeOf(upstream_wait wait)
+attempt_outcome outcomeOf(upstream_event wait)
 {
     switch (wait) {
-    case upstream_wait::caller_left:
+    case upstream_event::caller_left:
         return attempt_outcome::caller_left;
-    case upstream_wait::timeout:
+    case upstream_event::timeout:
         return attempt_outcome::timed_out;
-    case upstream_wait::lost:
-    case upstream_wait::data:
-    case upstream_wait::end:
+    case upstream_event::lost:
+    case upstream_event::data:
+    case upstream_event::end:
         break;
     }
     return attempt_outcome::lost;
 }
 
 /// Why a wait ended without data, for the log; \a whenLost if the connection was lost.
-std::string_view reasonOf(upstream_wait wait, std::string_view whenLost)
+std::string_view reasonOf(upstream_event wait, std::string_view whenLost)
 {
     switch (wait) {
-    case upstream_wait::caller_left:
+    case upstream_event::caller_left:
         return "the client has gone";
-    case upstream_wait::timeout:
+    case upstream_event::timeout:
         return "the deadline passed";
-    case upstream_wait::lost:
-    case upstream_wait::data:
-    case upstream_wait::end:
+    case upstream_event::lost:
+    case upstream_event::data:
+    case upstream_event::end:
         break;
     }
     return whenLost;
@@ -66,16 +66,16 @@
     for (;;) {
         const bool mayMove = m_attempts < m_route->maximumAttempts && m_route->mayRunAgain();
         const auto answerDeadline = firstAnswerDeadline();
-        auto wait = upstream_wait::timeout;
+        auto wait = upstream_event::timeout;
         do {
             const auto until = isStream() ? std::min(answerDeadline, monotonicNow() + stallWarningCheckPeriod) : answerDeadline;
             wait = upstream.waitForAnswer(std::min(m_deadline, until), m_exchange.socketDescriptor());
-        } while (wait == upstream_wait::timeout && monotonicNow() < std::min(m_deadline, answerDeadline) && !hasStallWarning(target)
+        } while (wait == upstream_event::timeout && monotonicNow() < std::min(m_deadline, answerDeadline) && !hasStallWarning(target)
                  && !mustWithdraw());
-        if (wait == upstream_wait::data) {
+        if (wait == upstream_event::data) {
             return relayAnswer(upstream, target);
         }
-        if (wait != upstream_wait::timeout || monotonicNow() >= m_deadline) {
+        if (wait != upstream_event::timeout || monotonicNow() >= m_deadline) {
             m_lastReason = reasonOf(wait, "the connection broke off before an answer");
             return outcomeOf(wait);
         }
@@ -92,10 +92,10 @@
         const bool mustCheckAgain = mayMove || isStream();
         const auto next = upstream.waitForAnswer(mustCheckAgain ? std::min(m_deadline, monotonicNow() + stallPause) : m_deadline,
                                                  m_exchange.socketDescriptor());
-        if (next == upstream_wait::data) {
+        if (next == upstream_event::data) {
             return relayAnswer(upstream, target);
         }
-        if (next == upstream_wait::caller_left || monotonicNow() >= m_deadline) {
+        if (next == upstream_event::caller_left || monotonicNow() >= m_deadline) {
             m_lastReason = reasonOf(next, "the connection broke off before an answer");
             return outcomeOf(next);
         }
@@ -143,11 +143,11 @@
     std::string piece;
     for (;;) {
         const auto wait = upstream.nextPiece(piece, m_deadline, m_exchange.socketDescriptor());
-        if (wait == upstream_wait::end) {
+        if (wait == upstream_event::end) {
             break;
         }
         answer.body += piece;
-        if (wait != upstream_wait::data || answer.body.size() > maximumAnswerBytes) {
+        if (wait != upstream_event::data || answer.body.size() > maximumAnswerBytes) {
             m_lastReason = reasonOf(wait, "the answer is incomplete");
             return outcomeOf(wait);
         }
@@ -169,24 +169,24 @@
     for (;;) {
         const auto pauseStart = monotonicNow();
         auto wait = upstream.nextPiece(piece, std::min(m_deadline, pauseStart + stallReportPause), m_exchange.socketDescriptor());
-        if (wait == upstream_wait::timeout && monotonicNow() < m_deadline) {
+        if (wait == upstream_event::timeout && monotonicNow() < m_deadline) {
             m_context.reportStall(target.replica);
-            while (wait == upstream_wait::timeout && monotonicNow() < std::min(m_deadline, pauseStart + stallPause)
+            while (wait == upstream_event::timeout && monotonicNow() < std::min(m_deadline, pauseStart + stallPause)
                    && !hasStallWarning(target)) {
                 const auto until = std::min(pauseStart + stallPause, monotonicNow() + stallWarningCheckPeriod);
                 wait = upstream.nextPiece(piece, std::min(m_deadline, until), m_exchange.socketDescriptor());
             }
         }
-        if (wait == upstream_wait::data) {
+        if (wait == upstream_event::data) {
             recordProgress(target);
             if (!relayPiece(piece, head)) {
                 return attempt_outcome::caller_left;
             }
-        } else if (wait == upstream_wait::end && !m_events.hasPartial()) {
+        } else if (wait == upstream_event::end && !m_events.hasPartial()) {
             beginStream(head);
             m_context.served.increment();
             return attempt_outcome::answered;
-        } else if (wait == upstream_wait::timeout && monotonicNow() < m_deadline) {
+        } else if (wait == upstream_event::timeout && monotonicNow() < m_deadline) {
             const bool mayMove = m_route->isResumable && m_attempts < m_route->maximumAttempts;
             if (mayMove && (hasStallWarning(target) || isStalled(target)) && reserveRetry()) {
                 m_lastReason = "the stream has stalled";
--- a/Libraries/Entry/request_finish.cpp
+++ b/Libraries/Entry/request_finish.cpp
@@ -91,7 +91,7 @@
 {
     if (scope == refusal_scope::this_daemon) {
         // Further requests on this connection would be refused as well.
-        m_exchange.closeAfterwards();
+        m_exchange.closeAfterResponse();
     }
     refuse(kind, text, retryAfterFor(scope, randomNumber()));
 }
--- a/Libraries/Entry/request_handler.cpp
+++ b/Libraries/Entry/request_handler.cpp
@@ -63,7 +63,7 @@
 bool request_handler::readRequest()
 {
     if (m_context.isDraining || m_context.shouldCloseConnections(m_arrival)) {
-        m_exchange.closeAfterwards();
+        m_exchange.closeAfterResponse();
     }
     m_headers = m_exchange.headers();
     m_head = m_context.dialect.readRequest(m_headers);
@@ -75,7 +75,7 @@
         return true;
     }
     if (hasLength && isChunked) {
-        m_exchange.closeAfterwards();
+        m_exchange.closeAfterResponse();
         refuse(error_kind::malformed_request, "a request must not have both Content-Length and Transfer-Encoding");
         return false;
     }
@@ -83,7 +83,7 @@
     reason why;
     auto body = m_exchange.readBody(limits.bodyBytes, limits.idleTimeout, why);
     if (!body) {
-        m_exchange.closeAfterwards();
+        m_exchange.closeAfterResponse();
         refuse(why.kind, why.text);
         return false;
     }
--- a/Libraries/Http/body_framing.cpp
+++ b/Libraries/Http/body_framing.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// A chunk of 16^7 bytes is far beyond any answer that is taken.
-constexpr int maximumSizeDigits = 7;
+/// Limits a chunk to less than 16^7 bytes, far more than any accepted response has.
+constexpr int maxSizeDigits = 7;
 constexpr std::uint64_t hexadecimal = 16;
 
 std::optional<std::uint64_t> hexDigit(char byte)
@@ -30,14 +30,14 @@
 
 body_decoder::body_decoder(body_framing framing, std::uint64_t length)
     : m_framing(framing)
-    , m_left(framing == body_framing::length ? length : 0)
+    , m_remainingBytes(framing == body_framing::length ? length : 0)
 {
     if (framing == body_framing::none || (framing == body_framing::length && length == 0)) {
         m_state = state::complete;
     }
 }
 
-body_decoder::state body_decoder::take(std::string_view bytes, std::string &body)
+body_decoder::state body_decoder::consume(std::string_view bytes, std::string &body)
 {
     if (bytes.empty()) {
         return m_state;
@@ -49,18 +49,18 @@
     if (m_framing == body_framing::until_close) {
         body.append(bytes);
     } else if (m_framing == body_framing::length) {
-        const auto taken = std::min<std::uint64_t>(m_left, bytes.size());
-        body.append(bytes.substr(0, taken));
-        m_left -= taken;
-        m_hasSurplus = taken < bytes.size();
-        m_state = m_left == 0 ? state::complete : state::needs_more;
+        const auto count = std::min<std::uint64_t>(m_remainingBytes, bytes.size());
+        body.append(bytes.substr(0, count));
+        m_remainingBytes -= count;
+        m_hasSurplus = count < bytes.size();
+        m_state = m_remainingBytes == 0 ? state::complete : state::needs_more;
     } else {
-        takeChunked(bytes, body);
+        decodeChunked(bytes, body);
     }
     return m_state;
 }
 
-body_decoder::state body_decoder::takeEnd()
+body_decoder::state body_decoder::consumeEnd()
 {
     if (m_state == state::needs_more) {
         m_state = m_framing == body_framing::until_close ? state::complete : state::broken;
@@ -83,72 +83,72 @@
     m_state = state::broken;
 }
 
-void body_decoder::takeChunked(std::string_view bytes, std::string &body)
+void body_decoder::decodeChunked(std::string_view bytes, std::string &body)
 {
     while (!bytes.empty() && m_state == state::needs_more) {
-        if (m_part == chunk_part::data) {
-            const auto taken = std::min<std::uint64_t>(m_left, bytes.size());
-            body.append(bytes.substr(0, taken));
-            bytes.remove_prefix(taken);
-            m_left -= taken;
-            m_part = m_left == 0 ? chunk_part::data_end : chunk_part::data;
+        if (m_chunkState == chunk_state::data) {
+            const auto count = std::min<std::uint64_t>(m_remainingBytes, bytes.size());
+            body.append(bytes.substr(0, count));
+            bytes.remove_prefix(count);
+            m_remainingBytes -= count;
+            m_chunkState = m_remainingBytes == 0 ? chunk_state::data_end : chunk_state::data;
         } else {
-            takeChunkByte(bytes.front());
+            decodeChunkByte(bytes.front());
             bytes.remove_prefix(1);
         }
     }
     m_hasSurplus = m_state == state::complete && !bytes.empty();
 }
 
-void body_decoder::takeSizeByte(char byte)
+void body_decoder::decodeSizeByte(char byte)
 {
     if (const auto digit = hexDigit(byte)) {
-        if (++m_sizeDigits > maximumSizeDigits) {
+        if (++m_sizeDigits > maxSizeDigits) {
             fail();
             return;
         }
-        m_left = m_left * hexadecimal + *digit;
+        m_remainingBytes = m_remainingBytes * hexadecimal + *digit;
     } else if (m_sizeDigits > 0 && byte == '\r') {
-        m_part = chunk_part::size_end;
+        m_chunkState = chunk_state::size_end;
     } else if (m_sizeDigits > 0 && (byte == ';' || byte == ' ' || byte == '\t')) {
-        m_part = chunk_part::extension;
+        m_chunkState = chunk_state::extension;
     } else {
         fail();
     }
 }
 
-void body_decoder::takeChunkByte(char byte)
+void body_decoder::decodeChunkByte(char byte)
 {
-    switch (m_part) {
-    case chunk_part::size:
-        takeSizeByte(byte);
+    switch (m_chunkState) {
+    case chunk_state::size:
+        decodeSizeByte(byte);
         return;
-    case chunk_part::extension:
-        m_part = byte == '\r' ? chunk_part::size_end : chunk_part::extension;
+    case chunk_state::extension:
+        m_chunkState = byte == '\r' ? chunk_state::size_end : chunk_state::extension;
         return;
-    case chunk_part::size_end:
-        m_part = m_left == 0 ? chunk_part::trailer : chunk_part::data;
+    case chunk_state::size_end:
+        m_chunkState = m_remainingBytes == 0 ? chunk_state::trailer : chunk_state::data;
         m_sizeDigits = 0;
         break;
-    case chunk_part::data_end:
-        m_part = chunk_part::data_end_feed;
+    case chunk_state::data_end:
+        m_chunkState = chunk_state::data_end_line_feed;
         if (byte != '\r') {
             fail();
         }
         return;
-    case chunk_part::data_end_feed:
-        m_part = chunk_part::size;
+    case chunk_state::data_end_line_feed:
+        m_chunkState = chunk_state::size;
         break;
-    case chunk_part::trailer:
-        m_part = byte == '\r' ? chunk_part::trailer_end : chunk_part::trailer_line;
+    case chunk_state::trailer:
+        m_chunkState = byte == '\r' ? chunk_state::trailer_end : chunk_state::trailer_line;
         return;
-    case chunk_part::trailer_line:
-        m_part = byte == '\n' ? chunk_part::trailer : chunk_part::trailer_line;
+    case chunk_state::trailer_line:
+        m_chunkState = byte == '\n' ? chunk_state::trailer : chunk_state::trailer_line;
         return;
-    case chunk_part::trailer_end:
+    case chunk_state::trailer_end:
         m_state = state::complete;
         break;
-    case chunk_part::data:
+    case chunk_state::data:
         return;
     }
     if (byte != '\n') {
--- a/Libraries/Http/body_framing.h
+++ b/Libraries/Http/body_framing.h
@@ -9,38 +9,44 @@
 
 namespace vetchpost {
 
-/// How the end of an HTTP message body is told.
+/// How the end of an HTTP message body is determined.
 enum class body_framing { length, chunked, until_close, none };
 
-/// Takes a message body out of its framing, and tells a whole body from one that broke off. POCO's chunked stream takes a connection that
-/// closes between two chunks for the end of the body, so that it cannot be used where this matters.
+/// Incremental decoder of an HTTP message body, which distinguishes a complete body from a truncated one. POCO's chunked stream treats a
+/// connection that closes between two chunks as the end of the body, so it cannot detect truncation.
 class body_decoder
 {
 public:
-    enum class state { needs_more, complete, broken };
-
+    enum class state {
+        needs_more,
+        complete,
+        /// The body was truncated, or its chunked encoding is invalid.
+        broken
+    };
+
+    /// \a length is the body's length in bytes and is used with body_framing::length only.
     explicit body_decoder(body_framing framing, std::uint64_t length = 0);
 
-    /// Takes in received bytes and appends the body's bytes to \a body.
-    state take(std::string_view bytes, std::string &body);
-    /// Takes in that the peer closed the connection.
-    state takeEnd();
+    /// Decodes received bytes, appends the body's bytes to \a body and returns the new state.
+    state consume(std::string_view bytes, std::string &body);
+    /// Handles the close of the connection by the peer and returns the new state: a body without a length is then complete.
+    state consumeEnd();
     state current() const;
-    /// Bytes after the end of the body were received: they belong to no request.
+    /// Whether bytes after the end of the body were received, which belong to no request.
     bool hasSurplus() const;
 
 private:
-    enum class chunk_part { size, extension, size_end, data, data_end, data_end_feed, trailer, trailer_line, trailer_end };
+    enum class chunk_state { size, extension, size_end, data, data_end, data_end_line_feed, trailer, trailer_line, trailer_end };
 
-    void takeChunked(std::string_view bytes, std::string &body);
-    void takeChunkByte(char byte);
-    void takeSizeByte(char byte);
+    void decodeChunked(std::string_view bytes, std::string &body);
+    void decodeChunkByte(char byte);
+    void decodeSizeByte(char byte);
     void fail();
 
     body_framing m_framing;
     state m_state = state::needs_more;
-    std::uint64_t m_left;
-    chunk_part m_part = chunk_part::size;
+    std::uint64_t m_remainingBytes;
+    chunk_state m_chunkState = chunk_state::size;
     int m_sizeDigits = 0;
     bool m_hasSurplus = false;
 };
--- a/Libraries/Http/http_client.cpp
+++ b/Libraries/Http/http_client.cpp
@@ -20,11 +20,11 @@
 
 using session_pointer = std::unique_ptr<Poco::Net::HTTPClientSession>;
 
-constexpr std::size_t keptConnectionsPerPeer = 4;
-constexpr duration keptConnectionLifetime(4000);
+constexpr std::size_t maxIdleConnectionsPerPeer = 4;
+constexpr duration idleConnectionTimeout(4000);
 
-/// Connects a session. Connecting by itself first keeps "nothing was sent" apart from "the outcome is unknown"; and a session
-/// that was given its socket knows no address, so that POCO can never connect it anew and send a request a second time.
+/// Connects a session; null on an error. Connecting is a separate step so that "nothing was sent" can be distinguished from "outcome
+/// unknown". A session that is constructed from a socket has no address, so POCO cannot reconnect it and send a request a second time.
 session_pointer connect(const http_call &call, bool keepAlive, reason &lastReason)
 {
     try {
@@ -36,7 +36,7 @@
         session->socket().setReceiveTimeout(timespanOf(call.receiveTimeout));
         session->socket().setSendTimeout(timespanOf(call.receiveTimeout));
         session->setKeepAlive(keepAlive);
-        session->setKeepAliveTimeout(timespanOf(keptConnectionLifetime));
+        session->setKeepAliveTimeout(timespanOf(idleConnectionTimeout));
         return session;
     } catch (const Poco::Exception &error) {
         lastReason = {error_kind::backend_unreachable, "cannot connect to " + call.to.text() + ": " + error.displayText()};
@@ -67,7 +67,7 @@
     return headers;
 }
 
-/// Reads to the end; nothing where the answer is larger than the limit or shorter than it said.
+/// Reads the body to its end; nothing if it is larger than \a limit bytes or shorter than its Content-Length.
 std::optional<std::string> readAll(std::istream &body, const Poco::Net::HTTPResponse &response, std::size_t limit, reason &lastReason)
 {
     std::string text;
@@ -75,12 +75,12 @@
     while (body.read(piece.data(), piece.size()) || body.gcount() > 0) {
         text.append(piece.data(), static_cast<std::size_t>(body.gcount()));
         if (text.size() > limit) {
-            lastReason = {error_kind::backend_truncated, "the answer is larger than the limit"};
+            lastReason = {error_kind::backend_truncated, "the response is larger than the limit"};
             return std::nullopt;
         }
     }
     if (body.bad() || (response.hasContentLength() && static_cast<std::size_t>(response.getContentLength64()) != text.size())) {
-        lastReason = {error_kind::backend_truncated, "the answer broke off"};
+        lastReason = {error_kind::backend_truncated, "the response was truncated"};
         return std::nullopt;
     }
     return text;
@@ -100,7 +100,7 @@
         }
         return http_reply{response.getStatus(), headersOf(response), std::move(*body)};
     } catch (const Poco::TimeoutException &) {
-        lastReason = {error_kind::deadline_exceeded, "no answer in time from " + call.to.text()};
+        lastReason = {error_kind::deadline_exceeded, "no response in time from " + call.to.text()};
     } catch (const std::exception &error) {
         lastReason = {error_kind::backend_lost, "the connection to " + call.to.text() + " failed: " + error.what()};
     }
@@ -135,35 +135,37 @@
 
 struct http_connection_pool::private_data
 {
-    struct kept_connection
+    struct idle_connection
     {
         session_pointer session;
         instant since;
     };
 
     std::mutex mutex;
-    std::map<endpoint, std::vector<kept_connection>> idle;
+    std::map<endpoint, std::vector<idle_connection>> idle;
 
-    session_pointer take(const endpoint &to)
+    /// Removes an idle connection from the pool; null if there is none that is young enough.
+    session_pointer acquire(const endpoint &to)
     {
         const std::lock_guard lock(mutex);
-        auto &kept = idle[to];
-        while (!kept.empty()) {
-            auto connection = std::move(kept.back());
-            kept.pop_back();
-            if (monotonicNow() - connection.since < keptConnectionLifetime) {
+        auto &connections = idle[to];
+        while (!connections.empty()) {
+            auto connection = std::move(connections.back());
+            connections.pop_back();
+            if (monotonicNow() - connection.since < idleConnectionTimeout) {
                 return std::move(connection.session);
             }
         }
         return nullptr;
     }
 
-    void keep(const endpoint &to, session_pointer session)
+    /// Returns a connection to the pool, or closes it if the pool holds enough for this peer.
+    void release(const endpoint &to, session_pointer session)
     {
         const std::lock_guard lock(mutex);
-        auto &kept = idle[to];
-        if (kept.size() < keptConnectionsPerPeer) {
-            kept.push_back({std::move(session), monotonicNow()});
+        auto &connections = idle[to];
+        if (connections.size() < maxIdleConnectionsPerPeer) {
+            connections.push_back({std::move(session), monotonicNow()});
         }
     }
 };
@@ -177,11 +179,11 @@
 
 std::optional<http_reply> http_connection_pool::send(const http_call &call, reason &lastReason)
 {
-    if (auto session = d->take(call.to)) {
+    if (auto session = d->acquire(call.to)) {
         session->socket().setReceiveTimeout(timespanOf(call.receiveTimeout));
         auto reply = exchange(*session, call, true, lastReason);
         if (reply) {
-            d->keep(call.to, std::move(session));
+            d->release(call.to, std::move(session));
             return reply;
         }
         if (lastReason.kind != error_kind::backend_lost) {
@@ -194,7 +196,7 @@
     }
     auto reply = exchange(*session, call, true, lastReason);
     if (reply) {
-        d->keep(call.to, std::move(session));
+        d->release(call.to, std::move(session));
     }
     return reply;
 }
@@ -206,27 +208,27 @@
     std::istream *body = nullptr;
     std::vector<http_header> headers;
 
-    /// Waits until the answer has more bytes.
-    stream_wait waitReadable(instant deadline, int callerSocket)
+    /// Waits until more bytes of the response can be read, in which case it returns line.
+    stream_event waitReadable(instant deadline, int clientSocket)
     {
         if (body->rdbuf()->in_avail() > 0) {
-            return stream_wait::line;
+            return stream_event::line;
         }
         for (;;) {
-            std::array<pollfd, 2> sockets{{{session->socket().impl()->sockfd(), POLLIN, 0}, {callerSocket, POLLRDHUP, 0}}};
+            std::array<pollfd, 2> sockets{{{session->socket().impl()->sockfd(), POLLIN, 0}, {clientSocket, POLLRDHUP, 0}}};
             const auto left = std::max<std::int64_t>(0, (deadline - monotonicNow()).count());
             const auto ready = poll(sockets.data(), sockets.size(), static_cast<int>(std::min<std::int64_t>(left, maxSteadyWait.count())));
             if (ready < 0 && errno == EINTR) {
                 continue;
             }
             if ((sockets[1].revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0) {
-                return stream_wait::caller_left;
+                return stream_event::caller_left;
             }
             if (sockets[0].revents != 0) {
-                return stream_wait::line;
+                return stream_event::line;
             }
             if (monotonicNow() >= deadline) {
-                return stream_wait::timeout;
+                return stream_event::timeout;
             }
         }
     }
@@ -252,34 +254,34 @@
         d->headers = headersOf(d->response);
         return d->response.getStatus();
     } catch (const Poco::TimeoutException &) {
-        lastReason = {error_kind::deadline_exceeded, "no answer in time from " + call.to.text()};
+        lastReason = {error_kind::deadline_exceeded, "no response in time from " + call.to.text()};
     } catch (const std::exception &error) {
         lastReason = {error_kind::backend_lost, "the connection to " + call.to.text() + " failed: " + error.what()};
     }
     return std::nullopt;
 }
 
-stream_wait http_stream::nextLine(std::string &line, instant deadline, int callerSocket)
+stream_event http_stream::nextLine(std::string &line, instant deadline, int clientSocket)
 {
-    const auto wait = d->waitReadable(deadline, callerSocket);
-    if (wait != stream_wait::line) {
+    const auto wait = d->waitReadable(deadline, clientSocket);
+    if (wait != stream_event::line) {
         return wait;
     }
     try {
         if (!std::getline(*d->body, line)) {
-            return d->body->bad() ? stream_wait::lost : stream_wait::end;
+            return d->body->bad() ? stream_event::lost : stream_event::end;
         }
     } catch (const std::exception &) {
-        return stream_wait::lost;
+        return stream_event::lost;
     }
     if (d->body->eof()) {
-        // A line without its end is no whole line: the answer broke off inside it.
-        return stream_wait::lost;
+        // The line has no line end, so the response was truncated inside it.
+        return stream_event::lost;
     }
     if (!line.empty() && line.back() == '\r') {
         line.pop_back();
     }
-    return stream_wait::line;
+    return stream_event::line;
 }
 
 const std::vector<http_header> &http_stream::headers() const
@@ -293,15 +295,15 @@
     return readAll(*d->body, d->response, limit, ignored);
 }
 
-bool http_stream::forEachPiece(instant deadline, int callerSocket, const std::function<bool(std::string_view)> &consume)
+bool http_stream::forEachPiece(instant deadline, int clientSocket, const std::function<bool(std::string_view)> &consume)
 {
     std::size_t total = 0;
     std::array<char, 8192> piece{};
     for (;;) {
-        if (d->waitReadable(deadline, callerSocket) != stream_wait::line) {
+        if (d->waitReadable(deadline, clientSocket) != stream_event::line) {
             return false;
         }
-        // Taking what has come already keeps a slow answer flowing; the first get() fills the buffer.
+        // get() fills the buffer; only the bytes that have arrived are read, so that a slow response is not held back.
         const auto first = d->body->get();
         if (first == std::istream::traits_type::eof()) {
             break;
--- a/Libraries/Http/http_client.h
+++ b/Libraries/Http/http_client.h
@@ -10,13 +10,13 @@
 
 namespace vetchpost {
 
-/// Sends one call on a connection of its own and reads the whole answer. Nothing is ever sent twice.
-/// Fails with backend_unreachable where no byte of the call can have been acted on, else with backend_lost,
-/// backend_truncated or deadline_exceeded.
+/// Sends one request on a new connection and reads the whole response. The request is never sent twice.
+/// Returns nothing on an error and sets \a lastReason: backend_unreachable if the connection failed, so that the request was not sent,
+/// otherwise backend_lost, backend_truncated or deadline_exceeded.
 std::optional<http_reply> sendOnFreshConnection(const http_call &call, reason &lastReason);
 
-/// Keeps connections to the peers it calls. Only for calls that may be repeated: a connection that the peer closed
-/// while idle leads to a second try. Safe to use from several threads.
+/// Pool of keep-alive connections. Use it only for idempotent requests: if the peer closed a connection while it was idle, the request is
+/// sent again. Thread-safe.
 class http_connection_pool
 {
 public:
@@ -25,7 +25,8 @@
     http_connection_pool(const http_connection_pool &) = delete;
     http_connection_pool &operator=(const http_connection_pool &) = delete;
 
-    /// As sendOnFreshConnection(), but may send the call again on a fresh connection where a kept one had been closed.
+    /// Sends a request and reads the whole response, with the same errors as sendOnFreshConnection(). If a pooled connection is lost, the
+    /// request is sent once more, on a new connection.
     std::optional<http_reply> send(const http_call &call, reason &lastReason);
 
 private:
@@ -33,10 +34,19 @@
     std::unique_ptr<private_data> d;
 };
 
-/// What came of waiting for the next line of a streamed answer.
-enum class stream_wait { line, end, lost, timeout, caller_left };
+/// Outcome of waiting for the next line of a streamed response.
+enum class stream_event {
+    line,
+    /// The response is complete.
+    end,
+    /// The connection was lost, or the response ended inside a line.
+    lost,
+    timeout,
+    /// The client for which the response is read has disconnected.
+    caller_left
+};
 
-/// A streamed answer that is read line by line on a connection of its own.
+/// A streamed response that is read line by line on its own connection.
 class http_stream
 {
 public:
@@ -45,18 +55,19 @@
     http_stream(const http_stream &) = delete;
     http_stream &operator=(const http_stream &) = delete;
 
-    /// Sends the call and reads the answer's head. Errors as sendOnFreshConnection().
+    /// Sends a request, reads the head of the response and returns its status. Returns nothing on an error and sets \a lastReason:
+    /// backend_unreachable if the connection failed, otherwise backend_lost or deadline_exceeded.
     std::optional<int> open(const http_call &call, reason &lastReason);
-    /// Waits for one line, without its line end, until \a deadline. \a callerSocket, where not negative, is watched too:
-    /// caller_left is returned once its peer has closed.
-    stream_wait nextLine(std::string &line, instant deadline, int callerSocket);
-    /// The headers of the answer.
+    /// Waits until \a deadline for one line and stores it in \a line without its line end. Also watches \a clientSocket, unless it is
+    /// negative, and returns caller_left once its peer has closed the connection.
+    stream_event nextLine(std::string &line, instant deadline, int clientSocket);
+    /// The headers of the response.
     const std::vector<http_header> &headers() const;
-    /// Reads what is left of the answer, up to \a limit bytes; nothing where it broke off or was larger.
+    /// Reads the rest of the response; nothing if it was truncated or is larger than \a limit bytes.
     std::optional<std::string> readRest(std::size_t limit);
-    /// Passes on the rest of the answer in pieces as they come; false where it broke off, timed out or \a consume
-    /// returned false.
-    bool forEachPiece(instant deadline, int callerSocket, const std::function<bool(std::string_view)> &consume);
+    /// Calls \a consume with each piece of the rest of the response as it arrives. Returns false if the response was truncated or did not
+    /// end before \a deadline, the client disconnected, or \a consume returned false.
+    bool forEachPiece(instant deadline, int clientSocket, const std::function<bool(std::string_view)> &consume);
     /// Closes the connection.
     void close();
 
--- a/Libraries/Http/http_exchange.cpp
+++ b/Libraries/Http/http_exchange.cpp
@@ -112,7 +112,7 @@
     d.response.sendBuffer(body.data(), body.size());
 }
 
-void http_exchange::sendError(const reason &why, const std::string &requestId, std::optional<duration> comeBackAfter)
+void http_exchange::sendError(const reason &why, const std::string &requestId, std::optional<duration> retryAfterOverride)
 {
     const auto &answer = errorAnswer(why.kind);
     Json::Value error;
@@ -122,18 +122,18 @@
     if (!requestId.empty()) {
         error["request_id"] = requestId;
     }
-    if (answer.retryAfter.count() > 0 && !comeBackAfter) {
+    if (answer.retryAfter.count() > 0 && !retryAfterOverride) {
         error["retry_after_seconds"] = Json::Int64(answer.retryAfter.count());
         setHeader("Retry-After", std::to_string(answer.retryAfter.count()));
     } else if (answer.retryAfter.count() > 0) {
-        const auto seconds = std::chrono::duration<double>(*comeBackAfter).count();
+        const auto seconds = std::chrono::duration<double>(*retryAfterOverride).count();
         error["retry_after_seconds"] = seconds;
         setHeader("Retry-After", fmt::format("{:.3f}", seconds));
     }
     Json::Value body;
     body["error"] = error;
     if (why.kind == error_kind::body_too_large || why.kind == error_kind::slow_sender || why.kind == error_kind::malformed_request) {
-        // What is left of the body is not read: the connection cannot be used again.
+        // The rest of the body is not read, so the connection cannot be reused.
         d.response.setKeepAlive(false);
     }
     send(answer.httpStatus, "application/json", toJsonText(body));
@@ -168,7 +168,7 @@
     d.stream = &d.response.send();
 }
 
-void http_exchange::closeAfterwards()
+void http_exchange::closeAfterResponse()
 {
     d.response.setKeepAlive(false);
 }
@@ -202,7 +202,7 @@
 int http_exchange::socketDescriptor() const
 {
     constexpr int none = -1;
-    return d.canSeeCallerLeave ? d.socket().impl()->sockfd() : none;
+    return d.canDetectDisconnect ? d.socket().impl()->sockfd() : none;
 }
 
 } // namespace vetchpost
--- a/Libraries/Http/http_exchange_data.h
+++ b/Libraries/Http/http_exchange_data.h
@@ -12,14 +12,14 @@
 
 namespace vetchpost {
 
-/// What a request that is being answered stands on.
+/// The POCO objects and the state of a request that is being handled.
 struct http_exchange::private_data
 {
     Poco::Net::HTTPServerRequest &request;
     Poco::Net::HTTPServerResponse &response;
     Poco::URI uri;
     std::string path;
-    bool canSeeCallerLeave = true;
+    bool canDetectDisconnect = true;
     std::ostream *stream = nullptr;
 
     Poco::Net::StreamSocket &socket() const
--- a/Libraries/Http/http_message.h
+++ b/Libraries/Http/http_message.h
@@ -16,18 +16,19 @@
     std::string value;
 };
 
-/// One call to another process.
+/// An HTTP request to another process.
 struct http_call
 {
     endpoint to;
     std::string method = "GET";
-    /// The path with the query.
+    /// The path, including the query.
     std::string target = "/";
     std::vector<http_header> headers;
     std::string body;
     duration connectTimeout{1000};
-    /// How long the peer may be silent.
+    /// Timeout of a single send or receive on the socket, not of the whole response.
     duration receiveTimeout{5000};
+    /// In bytes; a larger response is an error.
     std::size_t maximumReplySize = 4U << 20U;
 };
 
@@ -38,7 +39,7 @@
     return status >= firstSuccess && status < afterSuccess;
 }
 
-/// The whole answer to a call.
+/// A complete HTTP response.
 struct http_reply
 {
     int status = 0;
@@ -50,11 +51,11 @@
         return isSuccessStatus(status);
     }
 
-    /// The first header of that name, compared without case; empty where there is none.
+    /// The value of the first header with that name (case-insensitive); empty if there is none.
     std::string header(std::string_view name) const;
 };
 
-/// The first header of that name, compared without case; empty where there is none.
+/// The value of the first header with that name (case-insensitive); empty if there is none.
 std::string headerValue(const std::vector<http_header> &headers, std::string_view name);
 
 } // namespace vetchpost
--- a/Libraries/Http/http_server.cpp
+++ b/Libraries/Http/http_server.cpp
@@ -31,7 +31,7 @@
 
 class tracked_connection;
 
-/// The connections of one server, so that all idle ones can be closed at once when it finishes.
+/// The connections of one server. The list lets the server close all idle connections when it shuts down.
 struct open_connections
 {
     std::mutex mutex;
@@ -41,7 +41,7 @@
     std::atomic<int> active = 0;
 };
 
-/// The connection whose request the present thread answers.
+/// The connection that is served by the current thread.
 thread_local tracked_connection *currentConnection = nullptr;
 
 class tracked_connection : public Poco::Net::HTTPServerConnection
@@ -91,13 +91,13 @@
         return m_isBusy;
     }
 
-    /// Whether the reading side was closed here, which looks as if the caller had closed it.
+    /// Whether the server shut down the receiving side of the socket, which a poll cannot distinguish from a disconnect of the client.
     bool hasStoppedReading() const
     {
         return m_hasStoppedReading;
     }
 
-    /// What was read is still answered, and what has arrived is still read.
+    /// Shuts down the receiving side, unless bytes have already arrived. A request that has arrived is still read and answered.
     void stopReading()
     {
         try {
@@ -111,7 +111,8 @@
         }
     }
 
-    void cut()
+    /// Closes the connection immediately, also in the middle of a request.
+    void shutDown()
     {
         try {
             socket().shutdown();
@@ -147,7 +148,7 @@
             http_exchange exchange(data);
             handle(data, exchange);
         } catch (const std::exception &error) {
-            httpLog.warning("An answer could not be sent. error={}", error.what());
+            httpLog.warning("A response could not be sent. error={}", error.what());
         }
         currentConnection->setBusy(false);
         m_connections.active.fetch_sub(1);
@@ -228,7 +229,8 @@
     handler handle;
     open_connections connections;
     Poco::ThreadPool threads;
-    /// Closed once nothing more is accepted: connections that wait for it then end at once, instead of waiting for the end of the process.
+    /// Closed once the server has stopped accepting. Connections that wait in its backlog are then closed immediately, instead of when the
+    /// process exits.
     Poco::Net::ServerSocket listener;
     std::unique_ptr<Poco::Net::TCPServer> server;
 
@@ -266,8 +268,8 @@
     d->server->stop();
 }
 
-// The idle connections are closed first: the thread that accepts notices its end only after a quarter of a second. A connection that it
-// accepts until then is closed as soon as it is idle.
+// Idle connections are closed first, because the accepting thread takes up to 250 ms to stop. A connection that it accepts in the meantime
+// is closed as soon as it is idle.
 void http_server::finish()
 {
     {
@@ -303,7 +305,7 @@
         const std::lock_guard lock(d->connections.mutex);
         d->connections.isFinishing = true;
         for (auto *connection : d->connections.all) {
-            connection->cut();
+            connection->shutDown();
         }
     }
     d->threads.joinAll();
--- a/Libraries/Http/http_server.h
+++ b/Libraries/Http/http_server.h
@@ -11,7 +11,7 @@
 
 namespace vetchpost {
 
-/// One request that is being answered. Lives on the thread of its connection.
+/// A request that is being handled, and its response. It may be used only on the thread of its connection.
 class http_exchange
 {
 public:
@@ -21,40 +21,42 @@
     const std::string &method() const;
     /// The path without the query.
     const std::string &path() const;
-    /// Path and query as they came.
+    /// The path and the query as received.
     const std::string &target() const;
-    /// The query as it came, without the question mark.
+    /// The query as received, without the question mark.
     std::string query() const;
-    /// The value of a query parameter; empty where there is none.
+    /// The value of a query parameter; empty if there is none.
     std::string queryParameter(std::string_view name) const;
-    /// The value of a header; empty where there is none.
+    /// The value of a header; empty if there is none.
     std::string header(const std::string &name) const;
     /// All headers of the request.
     std::vector<http_header> headers() const;
-    /// Reads the body. Fails with body_too_large, slow_sender or malformed_request.
+    /// Reads the body. Returns nothing and sets \a lastReason to body_too_large if it has more than \a limit bytes, or to slow_sender if it
+    /// does not arrive whole within \a timeout.
     std::optional<std::string> readBody(std::size_t limit, duration timeout, reason &lastReason);
 
-    /// Sets a header of the answer; before it begins.
+    /// Sets a header of the response. Must be called before the response begins.
     void setHeader(const std::string &name, const std::string &value);
-    /// Sends a whole answer.
+    /// Sends a complete response.
     void send(int status, const std::string &contentType, const std::string &body);
-    /// Sends the answer of one error kind, with whether the request ran and when to come back.
-    /// \a comeBackAfter takes the place of the table's time where it is given; fractions of a second are told.
-    void sendError(const reason &why, const std::string &requestId = {}, std::optional<duration> comeBackAfter = std::nullopt);
-    /// Begins an answer whose head is passed on as it is. Without a length the body goes in chunks.
+    /// Sends the error response for \a why, which states whether the request ran and, for error kinds that have one, the retry-after time.
+    /// \a retryAfterOverride replaces the default retry-after time of such an error kind and is sent with fractions of a second.
+    void sendError(const reason &why, const std::string &requestId = {}, std::optional<duration> retryAfterOverride = std::nullopt);
+    /// Begins a response with the given status line and headers. Without a length in bytes, the body uses chunked encoding.
     void
     beginAnswer(int status, const std::string &reasonPhrase, const std::vector<http_header> &headers, std::optional<std::size_t> length);
-    /// The connection ends after this answer.
-    void closeAfterwards();
-    /// Begins a streamed answer.
+    /// Closes the connection after this response.
+    void closeAfterResponse();
+    /// Begins a streamed response with chunked encoding.
     void beginStream(int status, const std::string &contentType);
-    /// Sends one piece at once; false once the caller has gone.
+    /// Sends a part of the body immediately; false once the client has disconnected. The response must have begun.
     bool write(std::string_view piece);
-    /// Ends the connection without the end marker, so that the caller sees that the answer broke off.
+    /// Closes the connection without the end of the body, so that the client can detect that the response is truncated.
     void abort();
-    /// Whether the answer has begun.
+    /// Whether the response has begun.
     bool hasBegun() const;
-    /// The socket of the caller, to watch for its leaving; -1 where the server itself has stopped reading from it, which looks the same.
+    /// The client's socket, which can be polled to detect that the client disconnects. -1 if the server has shut down its receiving side,
+    /// because that looks the same as a disconnect.
     int socketDescriptor() const;
 
 private:
@@ -64,34 +66,35 @@
 struct http_server_limits
 {
     int maximumThreads = 64;
+    /// Accepted connections that wait for a thread.
     int maximumQueued = 64;
     std::size_t threadStackBytes = 256U * 1024U;
     duration requestTimeout{10000};
     duration keepAliveTimeout{8000};
 };
 
-/// A listener that calls one handler for every request, each connection on a thread of its own.
+/// HTTP server that calls one handler for every request. Each connection has its own thread.
 class http_server
 {
 public:
     using handler = std::function<void(http_exchange &)>;
 
-    /// Binds at once. Throws Poco::Net::NetException where the address cannot be bound.
+    /// Binds the address and starts to accept connections. Throws Poco::Net::NetException if the address cannot be bound.
     http_server(const endpoint &address, const http_server_limits &limits, handler handle);
     ~http_server();
     http_server(const http_server &) = delete;
     http_server &operator=(const http_server &) = delete;
 
-    /// Stops accepting connections; those that are open go on.
+    /// Stops accepting connections; open connections are still served.
     void stopAccepting();
-    /// Stops accepting, closes all idle connections at once, and lets each other one answer the request at hand before it closes. Returns
-    /// once all have; a request that was not read yet is not read any more.
+    /// Shuts down gracefully: stops accepting, closes idle connections immediately and every other connection after its current request.
+    /// Returns once all connections are closed. Requests that have not arrived by then are not read.
     void finish();
-    /// Requests that are being answered at this moment.
+    /// The number of requests that are being handled.
     int activeRequests() const;
-    /// Connections that are open at this moment, idle ones too.
+    /// The number of open connections, including idle ones.
     int openConnections() const;
-    /// Ends all connections and their threads.
+    /// Stops accepting, closes all connections immediately and waits for their threads.
     void stopAll();
 
 private:
--- a/Libraries/Http/http_upstream.cpp
+++ b/Libraries/Http/http_upstream.cpp
@@ -20,9 +20,9 @@
 
 namespace {
 
-/// One read of the socket; a stream's events are far smaller.
+/// Buffer size of one read from the socket, in bytes. The events of a stream are far smaller.
 constexpr std::size_t readSize = 16384;
-/// An answer's head arrives whole within this time once its first byte has come.
+/// Timeout of a read while the head of the response is received, once its first byte has arrived.
 constexpr duration headTimeout(2000);
 
 body_decoder decoderFor(const Poco::Net::HTTPResponse &response, const std::string &method)
@@ -50,50 +50,51 @@
     std::unique_ptr<Poco::Net::HTTPClientSession> session;
     std::string method;
     body_decoder decoder{body_framing::none};
-    /// Received with the head.
+    /// Bytes of the body that were received together with the head.
     std::string received;
 
-    upstream_wait waitReadable(instant deadline, int callerSocket)
+    upstream_event waitReadable(instant deadline, int clientSocket)
     {
         for (;;) {
-            std::array<pollfd, 2> sockets{{{session->socket().impl()->sockfd(), POLLIN, 0}, {callerSocket, POLLRDHUP, 0}}};
+            std::array<pollfd, 2> sockets{{{session->socket().impl()->sockfd(), POLLIN, 0}, {clientSocket, POLLRDHUP, 0}}};
             const auto left = std::clamp<std::int64_t>((deadline - monotonicNow()).count(), 0, maxSteadyWait.count());
             const auto ready = poll(sockets.data(), sockets.size(), static_cast<int>(left));
             if (ready < 0 && errno == EINTR) {
                 continue;
             }
             if ((sockets[1].revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0) {
-                return upstream_wait::caller_left;
+                return upstream_event::caller_left;
             }
             if (sockets[0].revents != 0) {
-                return upstream_wait::data;
+                return upstream_event::data;
             }
             if (monotonicNow() >= deadline) {
-                return upstream_wait::timeout;
+                return upstream_event::timeout;
             }
         }
     }
 
-    upstream_wait taken(body_decoder::state state, const std::string &piece) const
+    /// The event for a decoder state and the bytes that were decoded; timeout means that more bytes must be read.
+    upstream_event eventFor(body_decoder::state state, const std::string &piece) const
     {
         if (state == body_decoder::state::broken) {
-            return upstream_wait::lost;
+            return upstream_event::lost;
         }
         if (!piece.empty()) {
-            return upstream_wait::data;
+            return upstream_event::data;
         }
-        return state == body_decoder::state::complete ? upstream_wait::end : upstream_wait::timeout;
+        return state == body_decoder::state::complete ? upstream_event::end : upstream_event::timeout;
     }
 
-    /// Reads once; the socket is known to be readable.
+    /// Reads once from the socket, which must be readable, and decodes the bytes into \a piece.
     body_decoder::state receive(std::string &piece)
     {
         std::array<char, readSize> bytes{};
         try {
             const auto count = session->socket().receiveBytes(bytes.data(), static_cast<int>(bytes.size()));
-            return count > 0 ? decoder.take({bytes.data(), static_cast<std::size_t>(count)}, piece) : decoder.takeEnd();
+            return count > 0 ? decoder.consume({bytes.data(), static_cast<std::size_t>(count)}, piece) : decoder.consumeEnd();
         } catch (const Poco::Exception &) {
-            // A reset ends no answer, also one that has no length of its own.
+            // A reset connection means a truncated body, even if the body ends with its connection.
             return body_decoder::state::broken;
         }
     }
@@ -113,7 +114,7 @@
         Poco::Net::StreamSocket socket;
         socket.connect(Poco::Net::SocketAddress(call.to.host, call.to.port), timespanOf(call.connectTimeout));
         socket.setNoDelay(true);
-        // A session that was given its socket knows no address, so that POCO can never connect it anew and send a second time.
+        // A session that is constructed from a socket has no address, so POCO cannot reconnect it and send the request a second time.
         d->session = std::make_unique<Poco::Net::HTTPClientSession>(socket);
         d->session->socket().setReceiveTimeout(timespanOf(headTimeout));
         d->session->socket().setSendTimeout(timespanOf(call.receiveTimeout));
@@ -142,9 +143,9 @@
     }
 }
 
-upstream_wait http_upstream::waitForAnswer(instant deadline, int callerSocket)
+upstream_event http_upstream::waitForAnswer(instant deadline, int clientSocket)
 {
-    return d->waitReadable(deadline, callerSocket);
+    return d->waitReadable(deadline, clientSocket);
 }
 
 std::optional<upstream_head> http_upstream::readHead(reason &lastReason)
@@ -162,25 +163,25 @@
         }
         return head;
     } catch (const std::exception &error) {
-        lastReason = {error_kind::backend_lost, std::string("the answer has no proper head: ") + error.what()};
+        lastReason = {error_kind::backend_lost, std::string("the response has an invalid head: ") + error.what()};
         return std::nullopt;
     }
 }
 
-upstream_wait http_upstream::nextPiece(std::string &piece, instant deadline, int callerSocket)
+upstream_event http_upstream::nextPiece(std::string &piece, instant deadline, int clientSocket)
 {
     piece.clear();
     auto state = d->decoder.current();
     if (!d->received.empty()) {
-        state = d->decoder.take(std::exchange(d->received, {}), piece);
+        state = d->decoder.consume(std::exchange(d->received, {}), piece);
     }
     for (;;) {
-        const auto result = d->taken(state, piece);
-        if (result != upstream_wait::timeout) {
+        const auto result = d->eventFor(state, piece);
+        if (result != upstream_event::timeout) {
             return result;
         }
-        const auto waited = d->waitReadable(deadline, callerSocket);
-        if (waited != upstream_wait::data) {
+        const auto waited = d->waitReadable(deadline, clientSocket);
+        if (waited != upstream_event::data) {
             return waited;
         }
         state = d->receive(piece);
--- a/Libraries/Http/http_upstream.h
+++ b/Libraries/Http/http_upstream.h
@@ -10,18 +10,20 @@
 
 namespace vetchpost {
 
-/// What came of waiting on an upstream connection.
-enum class upstream_wait {
-    /// Bytes of the body came.
+/// Outcome of waiting on an upstream connection.
+enum class upstream_event {
+    /// Bytes have arrived.
     data,
-    /// The body is whole.
+    /// The body is complete.
     end,
-    /// The connection broke off, or what came is no answer.
+    /// The connection was lost, or the received bytes are not a valid body.
     lost,
     timeout,
+    /// The client for which the request is sent has disconnected.
     caller_left
 };
 
+/// The status line and the headers of a response.
 struct upstream_head
 {
     int status = 0;
@@ -29,7 +31,8 @@
     std::vector<http_header> headers;
 };
 
-/// One call on a connection of its own, whose answer is taken piece by piece while the caller's socket is watched. Nothing is sent twice.
+/// Sends one request on its own connection and reads the response piece by piece, while it watches the client's socket for a disconnect.
+/// The request is never sent twice.
 class http_upstream
 {
 public:
@@ -38,15 +41,17 @@
     http_upstream(const http_upstream &) = delete;
     http_upstream &operator=(const http_upstream &) = delete;
 
-    /// Connects and sends. Fails with backend_unreachable where nothing was sent, else with backend_lost.
+    /// Connects and sends the request. Returns false on an error and sets \a lastReason: backend_unreachable if nothing was sent, otherwise
+    /// backend_lost.
     bool send(const http_call &call, reason &lastReason);
-    /// Waits until the answer begins. \a callerSocket, where not negative, is watched too.
-    upstream_wait waitForAnswer(instant deadline, int callerSocket);
-    /// Reads the answer's head; nothing where it is none.
+    /// Waits until \a deadline for the first bytes of the response. Also watches \a clientSocket, unless it is negative, and returns
+    /// caller_left once its peer has closed the connection.
+    upstream_event waitForAnswer(instant deadline, int clientSocket);
+    /// Reads the head of the response. Returns nothing and sets \a lastReason to backend_lost if the head is invalid or incomplete.
     std::optional<upstream_head> readHead(reason &lastReason);
-    /// Waits for bytes of the body and puts them into \a piece.
-    upstream_wait nextPiece(std::string &piece, instant deadline, int callerSocket);
-    /// Ends the connection at once.
+    /// Waits until \a deadline for bytes of the body and stores them in \a piece. \a clientSocket is watched as by waitForAnswer().
+    upstream_event nextPiece(std::string &piece, instant deadline, int clientSocket);
+    /// Closes the connection immediately.
     void close();
 
 private:
--- a/Libraries/Http/poco_timespan.h
+++ b/Libraries/Http/poco_timespan.h
@@ -7,7 +7,7 @@
 
 namespace vetchpost {
 
-/// A duration as POCO's sockets take it.
+/// Converts a duration to the type that POCO's sockets use.
 inline Poco::Timespan timespanOf(duration value)
 {
     constexpr std::int64_t microsecondsPerMillisecond = 1000;
--- a/Libraries/Http/port_probe.cpp
+++ b/Libraries/Http/port_probe.cpp
@@ -9,17 +9,17 @@
 
 namespace vetchpost {
 
-port_answer probePort(const endpoint &address, duration timeout)
+port_probe_result probePort(const endpoint &address, duration timeout)
 {
     try {
         Poco::Net::StreamSocket socket;
         socket.connect(Poco::Net::SocketAddress(address.host, address.port), timespanOf(timeout));
-        return port_answer::accepts;
+        return port_probe_result::accepts;
     } catch (const Poco::Net::ConnectionRefusedException &) {
-        return port_answer::refuses;
+        return port_probe_result::refuses;
     } catch (const Poco::Exception &) {
-        // Which way it failed makes no difference: nothing is known of the process.
-        return port_answer::silent;
+        // The kind of failure does not matter: whether the process runs is unknown.
+        return port_probe_result::silent;
     }
 }
 
--- a/Libraries/Http/port_probe.h
+++ b/Libraries/Http/port_probe.h
@@ -6,16 +6,16 @@
 
 namespace vetchpost {
 
-/// What an address says to a new connection.
-enum class port_answer {
+/// Outcome of a connection attempt to an address.
+enum class port_probe_result {
     accepts,
-    /// No process listens there.
+    /// No process listens on the port.
     refuses,
-    /// Nothing came in time, or no way leads there.
+    /// The attempt timed out, or failed for another reason, such as a missing route.
     silent
 };
 
-/// Connects, for at most \a timeout, and closes at once.
-port_answer probePort(const endpoint &address, duration timeout);
+/// Connects to an address, waits for at most \a timeout and closes the connection immediately.
+port_probe_result probePort(const endpoint &address, duration timeout);
 
 } // namespace vetchpost
--- a/Libraries/Platform/paced_service.h
+++ b/Libraries/Platform/circuit_breaking_service.h
@@ -7,14 +7,14 @@
 
 namespace vetchpost {
 
-/// A key-value service that is left alone while it does not answer: then one call at a time, and seldom, finds out whether it is back, and
-/// the others fail at once as not sent.
-class paced_service : public key_value_service
+/// Decorator of a key-value service with a circuit breaker. While the service does not answer, it is probed with a backoff, by one call at
+/// a time, and all other calls fail immediately as not sent.
+class circuit_breaking_service : public key_value_service
 {
 public:
-    /// \a probeKey is read, as cheaply as can be, to find out.
-    paced_service(std::unique_ptr<key_value_service> service, std::string probeKey);
-    ~paced_service() override;
+    /// \a probeKey is the key that a probe reads, with a read that may be stale because that is the cheapest call.
+    circuit_breaking_service(std::unique_ptr<key_value_service> service, std::string probeKey);
+    ~circuit_breaking_service() override;
 
     std::optional<key_value_entry> get(const std::string &key, read_freshness freshness, reason &lastReason) override;
     std::optional<key_value_listing> list(const std::string &prefix, read_freshness freshness, reason &lastReason) override;
--- a/Libraries/Platform/instance_list_client.h
+++ b/Libraries/Platform/instance_list_client.h
@@ -13,25 +13,26 @@
 
 namespace vetchpost {
 
-/// One backend server instance, as the platform's lagging list tells it.
+/// A backend server instance as listed by the platform. The list lags behind the real state.
 struct listed_instance
 {
     instance_id id;
     endpoint address;
     data_centre_id dataCentre;
     fabric_domain_id fabricDomain;
-    /// The plain service that it runs; empty for an instance with a model engine.
+    /// The name of the plain service that the instance runs; empty if it runs a model engine.
     std::string service;
     int accelerators = 0;
     bool isLeaving = false;
 };
 
-/// The form of the platform's list; daemons pass instances on to each other in the same one.
+/// Encodes an instance in the format of the platform's list, which daemons also use to send instances to each other.
 Json::Value toJson(const listed_instance &instance);
-/// Nothing where the entry is none.
+/// Decodes one entry of the list; nothing if its id or its address is missing or invalid.
 std::optional<listed_instance> listedInstanceFrom(const Json::Value &json);
 
-/// The platform's list of live and leaving instances. It lags: what the backend servers say themselves goes before it.
+/// Client of the platform's list of live and leaving instances. The list lags, so reports from the backend servers themselves take
+/// precedence.
 class instance_list_client
 {
 public:
@@ -40,7 +41,7 @@
     instance_list_client(const instance_list_client &) = delete;
     instance_list_client &operator=(const instance_list_client &) = delete;
 
-    /// The instances of one data centre. Errors: platform_unavailable.
+    /// The instances in one data centre. Returns nothing on an error and sets \a lastReason to platform_unavailable.
     std::optional<std::vector<listed_instance>> instances(const data_centre_id &dataCentre, reason &lastReason);
 
 private:
--- a/Libraries/Platform/key_value_client.cpp
+++ b/Libraries/Platform/key_value_client.cpp
@@ -16,10 +16,10 @@
 constexpr int conflict = 409;
 constexpr int firstServerError = 500;
 constexpr duration callTimeout(2000);
-constexpr duration watchMargin(3000);
+constexpr duration watchTimeoutMargin(3000);
 constexpr std::size_t maximumListSize = 64U << 20U;
 
-std::string escaped(const std::string &text)
+std::string percentEncoded(const std::string &text)
 {
     std::string result;
     Poco::URI::encode(text, "/?&=+%#", result);
@@ -69,7 +69,7 @@
         return counters.addCounter("vetchpost_key_value_calls_total", "Calls to the key-value service.", {{"call", kind}});
     }
 
-    http_call callTo(const std::string &method, const std::string &target, const Json::Value &body = {}) const
+    http_call makeCall(const std::string &method, const std::string &target, const Json::Value &body = {}) const
     {
         http_call call;
         call.to = address;
@@ -83,7 +83,8 @@
         return call;
     }
 
-    std::optional<Json::Value> usable(const std::optional<http_reply> &reply, reason &lastReason) const
+    /// The body of a successful reply as JSON; otherwise nothing, and \a lastReason is set to platform_unavailable.
+    std::optional<Json::Value> parseReply(const std::optional<http_reply> &reply, reason &lastReason) const
     {
         if (reply && reply->isSuccess()) {
             if (auto value = parseJson(reply->body)) {
@@ -109,19 +110,19 @@
 std::optional<key_value_entry> key_value_client::get(const std::string &key, read_freshness /*freshness*/, reason &lastReason)
 {
     d->reads.increment();
-    const auto reply = d->connections.send(d->callTo("GET", "/v1/keys/" + escaped(key)), lastReason);
+    const auto reply = d->connections.send(d->makeCall("GET", "/v1/keys/" + percentEncoded(key)), lastReason);
     if (reply && reply->status == notFound) {
         return key_value_entry{key, {}, {}};
     }
-    const auto json = d->usable(reply, lastReason);
+    const auto json = d->parseReply(reply, lastReason);
     return json ? std::optional(entryOf(*json)) : std::nullopt;
 }
 
 std::optional<key_value_listing> key_value_client::list(const std::string &prefix, read_freshness /*freshness*/, reason &lastReason)
 {
     d->reads.increment();
-    const auto reply = d->connections.send(d->callTo("GET", "/v1/keys?prefix=" + escaped(prefix)), lastReason);
-    const auto json = d->usable(reply, lastReason);
+    const auto reply = d->connections.send(d->makeCall("GET", "/v1/keys?prefix=" + percentEncoded(prefix)), lastReason);
+    const auto json = d->parseReply(reply, lastReason);
     return json ? std::optional(key_value_listing{entriesOf(*json, "entries"), jsonNumber(*json, "revision")}) : std::nullopt;
 }
 
@@ -134,9 +135,9 @@
     body["value"] = value;
     body["lease"] = Json::UInt64(lease.value());
     reason why;
-    // A write goes on a fresh connection: a kept one would be tried twice, and the second try of a write that took
-    // effect would look like a conflict.
-    const auto reply = sendOnFreshConnection(d->callTo("POST", "/v1/swap", body), why);
+    // A write uses a new connection. The pool could send it twice, and the second attempt of a write that took effect would look like a
+    // conflict.
+    const auto reply = sendOnFreshConnection(d->makeCall("POST", "/v1/swap", body), why);
     if (!reply) {
         d->failures.increment();
         return {why.kind == error_kind::backend_unreachable ? swap_outcome::not_sent : swap_outcome::unknown, {}};
@@ -150,7 +151,7 @@
         }
     }
     d->failures.increment();
-    // A refusal by the service itself wrote nothing; an error inside it leaves the outcome open.
+    // Nothing was written if the service rejected the request. After an internal error of the service the outcome is unknown.
     return {reply->status >= firstServerError || reply->isSuccess() ? swap_outcome::unknown : swap_outcome::not_sent, {}};
 }
 
@@ -159,7 +160,7 @@
     d->leases.increment();
     Json::Value body;
     body["time_ms"] = Json::Int64(time.count());
-    const auto json = d->usable(sendOnFreshConnection(d->callTo("POST", "/v1/leases", body), lastReason), lastReason);
+    const auto json = d->parseReply(sendOnFreshConnection(d->makeCall("POST", "/v1/leases", body), lastReason), lastReason);
     return json ? std::optional(lease_number(jsonNumber(*json, "lease"))) : std::nullopt;
 }
 
@@ -167,16 +168,16 @@
 {
     d->leases.increment();
     const auto target = fmt::format("/v1/leases/{}/renew", lease.value());
-    const auto reply = d->connections.send(d->callTo("POST", target, Json::Value(Json::objectValue)), lastReason);
+    const auto reply = d->connections.send(d->makeCall("POST", target, Json::Value(Json::objectValue)), lastReason);
     if (reply && reply->status == notFound) {
         return false;
     }
-    return d->usable(reply, lastReason) ? std::optional(true) : std::nullopt;
+    return d->parseReply(reply, lastReason) ? std::optional(true) : std::nullopt;
 }
 
 void key_value_client::endLease(lease_number lease)
 {
-    // The interface has no call for it; the lease lapses by itself.
+    // The interface has no such call; the lease expires on its own.
     static_cast<void>(lease);
 }
 
@@ -184,9 +185,9 @@
 {
     d->watches.increment();
     d->waitingWatches.add(1);
-    auto call = d->callTo("GET", fmt::format("/v1/watch?prefix={}&after={}&wait_ms={}", escaped(prefix), after, wait.count()));
-    call.receiveTimeout = wait + watchMargin;
-    const auto json = d->usable(d->connections.send(call, lastReason), lastReason);
+    auto call = d->makeCall("GET", fmt::format("/v1/watch?prefix={}&after={}&wait_ms={}", percentEncoded(prefix), after, wait.count()));
+    call.receiveTimeout = wait + watchTimeoutMargin;
+    const auto json = d->parseReply(d->connections.send(call, lastReason), lastReason);
     d->waitingWatches.add(-1);
     if (!json) {
         return std::nullopt;
--- a/Libraries/Platform/key_value_client.h
+++ b/Libraries/Platform/key_value_client.h
@@ -9,7 +9,7 @@
 
 namespace vetchpost {
 
-/// The key-value service by the product's own HTTP interface (docs/INTERFACES.md). Each call is counted by its kind.
+/// Client of the key-value service over the product's own HTTP interface (docs/INTERFACES.md). Counts the calls by kind.
 class key_value_client : public key_value_service
 {
 public:
--- a/Libraries/Platform/key_value_service.h
+++ b/Libraries/Platform/key_value_service.h
@@ -11,9 +11,9 @@
 
 namespace vetchpost {
 
-/// The revision of one key of the key-value service; 0 means that the key does not exist.
+/// The revision of a key in the key-value service; 0 means that the key does not exist.
 using key_revision = sequence<struct key_revision_tag>;
-/// A lease of the key-value service; 0 means none.
+/// The id of a lease of the key-value service; 0 means no lease.
 using lease_number = sequence<struct lease_tag>;
 
 struct key_value_entry
@@ -28,27 +28,27 @@
     applied,
     /// The key had another revision; nothing was written.
     conflict,
-    /// The answer was lost: the write may have taken effect, now or later.
+    /// No usable response was received. The write may have taken effect, or may still do so.
     unknown,
-    /// The call did not reach the service; nothing was written.
+    /// The request did not reach the service, or was rejected by it; nothing was written.
     not_sent
 };
 
 struct swap_result
 {
     swap_outcome outcome = swap_outcome::not_sent;
-    /// The revision after the write; only where it was applied.
+    /// The revision after the write; set only if the write was applied.
     key_revision changed;
 };
 
-/// What a waiting watch saw.
+/// The result of a watch.
 struct watch_result
 {
-    /// The service's revision up to which this answer tells all changes.
+    /// The revision of the service up to which this result contains all changes.
     std::uint64_t upTo = 0;
-    /// Entries as they were written; a deleted one has an empty value.
+    /// The written entries; a deleted entry has an empty value.
     std::vector<key_value_entry> changes;
-    /// The service no longer holds all changes since the revision that was asked for: only a new listing tells.
+    /// The service no longer holds all changes since the requested revision, so the entries must be listed again.
     bool isHistoryLost = false;
 };
 
@@ -56,14 +56,15 @@
 struct key_value_listing
 {
     std::vector<key_value_entry> entries;
-    /// The service's revision before the listing began: a watch from here misses nothing.
+    /// The revision of the service before the listing began. A watch from this revision misses no change.
     std::uint64_t upTo = 0;
 };
 
-/// How old the answer to a read may be.
+/// Whether a read must return the current value or may return an older one.
 enum class read_freshness { current, may_be_stale };
 
-/// What the daemons ask of a key-value service. Errors are platform_unavailable. Safe to use from several threads.
+/// Interface of the key-value service that the daemons use. Functions that return an optional return nothing on an error and set
+/// \a lastReason to platform_unavailable. Thread-safe.
 class key_value_service
 {
 public:
@@ -72,18 +73,20 @@
     key_value_service(const key_value_service &) = delete;
     key_value_service &operator=(const key_value_service &) = delete;
 
-    /// The entry of a key; one with revision 0 where the key does not exist.
+    /// The entry of a key; its revision is 0 if the key does not exist.
     virtual std::optional<key_value_entry> get(const std::string &key, read_freshness freshness, reason &lastReason) = 0;
+    /// All entries whose keys begin with \a prefix.
     virtual std::optional<key_value_listing> list(const std::string &prefix, read_freshness freshness, reason &lastReason) = 0;
-    /// Writes \a value if the key still has the revision \a expected. The key lives as long as \a lease, if one is given.
+    /// Writes \a value if the key still has the revision \a expected. If a lease is given, the key is deleted when the lease ends.
     virtual swap_result compareAndSwap(const std::string &key, key_revision expected, const std::string &value, lease_number lease = {})
         = 0;
+    /// Grants a lease that expires after \a time unless it is renewed.
     virtual std::optional<lease_number> grantLease(duration time, reason &lastReason) = 0;
-    /// False where the service says that the lease has lapsed; nothing where it did not answer.
+    /// Renews a lease; false if the lease has expired, nothing if the service gave no usable answer.
     virtual std::optional<bool> renewLease(lease_number lease, reason &lastReason) = 0;
-    /// Ends a lease and its keys at once; best effort.
+    /// Ends a lease and deletes its keys immediately, on a best-effort basis.
     virtual void endLease(lease_number lease) = 0;
-    /// Waits up to \a wait for changes under \a prefix after \a after.
+    /// Waits for at most \a wait for changes under \a prefix after the revision \a after.
     virtual std::optional<watch_result> watch(const std::string &prefix, std::uint64_t after, duration wait, reason &lastReason) = 0;
 };
 
--- a/Libraries/Platform/measured_store.cpp
+++ b/Libraries/Platform/measured_store.cpp
@@ -9,8 +9,13 @@
 namespace {
 
 enum class store_call { get, list, write, grant_lease, renew_lease, end_lease, watch, count };
-/// Done, done otherwise than hoped (a conflict, a lapsed lease, a lost history), without an answer.
-enum class store_outcome { done, refused, no_answer, count };
+enum class store_outcome {
+    done,
+    /// Answered, but without the wanted effect: a conflict, an expired lease or a lost history.
+    refused,
+    no_answer,
+    count
+};
 
 constexpr std::size_t callCount = static_cast<std::size_t>(store_call::count);
 constexpr std::size_t outcomeCount = static_cast<std::size_t>(store_outcome::count);
@@ -58,7 +63,7 @@
 struct measured_store::private_data
 {
     std::unique_ptr<key_value_service> service;
-    /// By call and outcome.
+    /// Durations by call and outcome.
     std::vector<histogram> times;
 
     private_data(std::unique_ptr<key_value_service> inner, metrics &counters)
@@ -74,11 +79,11 @@
     }
 
     template <class Call>
-    auto measure(store_call call, const Call &ask) const
+    auto measure(store_call call, const Call &function) const
     {
-        const auto asked = std::chrono::steady_clock::now();
-        auto answer = ask();
-        const std::chrono::duration<double> time = std::chrono::steady_clock::now() - asked;
+        const auto startedAt = std::chrono::steady_clock::now();
+        auto answer = function();
+        const std::chrono::duration<double> time = std::chrono::steady_clock::now() - startedAt;
         times.at(static_cast<std::size_t>(call) * outcomeCount + static_cast<std::size_t>(outcomeOf(answer))).observe(time.count());
         return answer;
     }
@@ -116,7 +121,7 @@
     return d->measure(store_call::renew_lease, [&] { return d->service->renewLease(lease, lastReason); });
 }
 
-/// Nobody learns what came of it: it counts as done.
+/// The call has no result, so it always counts as done.
 void measured_store::endLease(lease_number lease)
 {
     d->measure(store_call::end_lease, [&] {
--- a/Libraries/Platform/measured_store.h
+++ b/Libraries/Platform/measured_store.h
@@ -8,7 +8,7 @@
 
 namespace vetchpost {
 
-/// Passes all calls on to another key-value service and measures how long they take, by call and outcome.
+/// Decorator of a key-value service that records the duration of each call in histograms, by call and outcome.
 class measured_store : public key_value_service
 {
 public:
--- a/Libraries/Platform/weight_store_client.h
+++ b/Libraries/Platform/weight_store_client.h
@@ -9,16 +9,17 @@
 
 namespace vetchpost {
 
-/// How busy the weight store is.
+/// The load on the weight store.
 struct weight_store_state
 {
-    /// Loads of one instance that it can feed at full rate at the same time.
+    /// The number of loads, each by one instance, that the store can serve at full rate at the same time.
     int concurrentLoads = 0;
-    /// Loads that it feeds at this moment.
+    /// The number of loads in progress.
     int activeLoads = 0;
 };
 
-/// The platform's rate-limited store of model weights. Engines load from it by themselves; only its rate is asked for here.
+/// Client of the platform's rate-limited store of model weights. It only reads the load on the store: the engines load the weights
+/// themselves.
 class weight_store_client
 {
 public:
@@ -27,7 +28,7 @@
     weight_store_client(const weight_store_client &) = delete;
     weight_store_client &operator=(const weight_store_client &) = delete;
 
-    /// Errors: platform_unavailable.
+    /// Reads the load on the store. Returns nothing on an error and sets \a lastReason to platform_unavailable.
     std::optional<weight_store_state> state(reason &lastReason);
 
 private:
--- a/Tests/Http/testBodyDecoder.cpp
+++ b/Tests/Http/testBodyDecoder.cpp
@@ -18,14 +18,14 @@
     bool hasSurplus = false;
 };
 
-/// Feeds the bytes in pieces of one size, then closes the connection.
+/// Decodes the bytes in pieces of \a pieceSize bytes and then closes the connection, if \a closes is set.
 decoded_body decode(body_decoder decoder, const std::string &bytes, std::size_t pieceSize, bool closes = true)
 {
     decoded_body result;
     for (std::size_t i = 0; i < bytes.size(); i += pieceSize) {
-        decoder.take(std::string_view(bytes).substr(i, pieceSize), result.body);
+        decoder.consume(std::string_view(bytes).substr(i, pieceSize), result.body);
     }
-    result.end = closes ? decoder.takeEnd() : decoder.current();
+    result.end = closes ? decoder.consumeEnd() : decoder.current();
     result.hasSurplus = decoder.hasSurplus();
     return result;
 }
@@ -41,7 +41,7 @@
 
 } // namespace
 
-TEST_CASE("A chunked body is whole only with its last chunk, wherever the connection closes")
+TEST_CASE("A chunked body is complete only with its last chunk, wherever the connection closes")
 {
     const auto whole = chunked({"id: 1\n\n", "id: 2\n\n"});
     for (std::size_t cut = 0; cut < whole.size(); ++cut) {
@@ -52,7 +52,7 @@
     CHECK(decoded.body == "id: 1\n\nid: 2\n\n");
 }
 
-TEST_CASE("A body with a length is whole only with all its bytes")
+TEST_CASE("A body with a length is complete only with all its bytes")
 {
     CHECK(decode(body_decoder(body_framing::length, 5), "abcd", 2).end == state::broken);
     CHECK(decode(body_decoder(body_framing::length, 5), "abcde", 2, false).end == state::complete);
@@ -61,7 +61,7 @@
     CHECK(longer.hasSurplus);
 }
 
-TEST_CASE("A body without a length ends with its connection, and an empty one at once")
+TEST_CASE("A body without a length ends with its connection, and an empty body is complete immediately")
 {
     CHECK(decode(body_decoder(body_framing::until_close), "abc", 1).end == state::complete);
     CHECK(decode(body_decoder(body_framing::until_close), "abc", 1, false).end == state::needs_more);
@@ -69,21 +69,21 @@
     CHECK(body_decoder(body_framing::length, 0).current() == state::complete);
 }
 
-TEST_CASE("Bytes that are no chunks break the body")
+TEST_CASE("Invalid chunked encoding is rejected")
 {
     for (const auto *text : {"zz\r\n", "5\nabcde", "5\r\nabcdeX\r\n0\r\n\r\n", "\r\n0\r\n\r\n", "fffffffff\r\n", "-1\r\n", "0\r\nX\rY"}) {
         CHECK(decode(body_decoder(body_framing::chunked), text, 3).end == state::broken);
     }
 }
 
-TEST_CASE("Extensions and trailers of chunks are passed over")
+TEST_CASE("Chunk extensions and trailers are ignored")
 {
     const auto decoded = decode(body_decoder(body_framing::chunked), "3;a=b\r\nabc\r\n0\r\nX: y\r\n\r\n", 2, false);
     CHECK(decoded.end == state::complete);
     CHECK(decoded.body == "abc");
 }
 
-TEST_CASE("The pieces in which a chunked body comes do not matter", "[fuzz]")
+TEST_CASE("A chunked body decodes to the same bytes however it is split into pieces", "[fuzz]")
 {
     const auto property = [] {
         const auto chunks = *rc::gen::container<std::vector<std::string>>(rc::gen::nonEmpty<std::string>());
--- a/Tests/Http/testHttpServer.cpp
+++ b/Tests/Http/testHttpServer.cpp
@@ -25,8 +25,8 @@
     return {"127.0.0.1", socket.address().port()};
 }
 
-/// The status of an answer on a kept connection; 0 where there is none.
-int askOn(Poco::Net::HTTPClientSession &session, const std::string &path)
+/// Sends a GET request on an open connection and returns the status of the response; 0 if there is none.
+int requestStatus(Poco::Net::HTTPClientSession &session, const std::string &path)
 {
     try {
         Poco::Net::HTTPRequest request("GET", path, Poco::Net::HTTPMessage::HTTP_1_1);
@@ -42,7 +42,7 @@
 
 } // namespace
 
-TEST_CASE("A server that finishes answers what it has read and reads nothing more")
+TEST_CASE("A graceful shutdown answers requests that were read and reads no further ones")
 {
     constexpr duration slowTime(400);
     std::atomic<int> handled = 0;
@@ -57,10 +57,10 @@
     Poco::Net::StreamSocket socket(Poco::Net::SocketAddress(address.host, address.port));
     Poco::Net::HTTPClientSession idle(socket);
     idle.setKeepAlive(true);
-    REQUIRE(askOn(idle, "/quick") == 200);
+    REQUIRE(requestStatus(idle, "/quick") == 200);
 
     std::optional<http_reply> slowReply;
-    std::thread asking([&] {
+    std::thread client([&] {
         http_call call;
         call.to = address;
         call.target = "/slow";
@@ -69,17 +69,17 @@
     });
     std::this_thread::sleep_for(slowTime / 4);
     server.finish();
-    // It came back only after the request at hand had its answer.
+    // finish() returned only after the current request was answered.
     CHECK(handled == 2);
     CHECK(server.activeRequests() == 0);
-    asking.join();
+    client.join();
     REQUIRE(slowReply);
     CHECK(slowReply->body == "whole");
-    CHECK(askOn(idle, "/quick") == 0);
+    CHECK(requestStatus(idle, "/quick") == 0);
     CHECK(handled == 2);
 }
 
-TEST_CASE("A server that finishes closes idle connections at once, however many are busy")
+TEST_CASE("A graceful shutdown closes idle connections immediately, however many are busy")
 {
     constexpr duration slowTime(600);
     const auto address = freePort();
@@ -90,10 +90,10 @@
         exchange.send(200, "text/plain", "whole");
     });
     std::atomic<int> answered = 0;
-    std::vector<std::thread> asking;
-    asking.reserve(6);
+    std::vector<std::thread> clientThreads;
+    clientThreads.reserve(6);
     for (int i = 0; i < 6; ++i) {
-        asking.emplace_back([&] {
+        clientThreads.emplace_back([&] {
             http_call call;
             call.to = address;
             call.target = "/slow";
@@ -107,72 +107,72 @@
         idle.emplace_back(Poco::Net::SocketAddress(address.host, address.port));
     }
     std::this_thread::sleep_for(slowTime / 4);
-    const auto asked = monotonicNow();
+    const auto startedAt = monotonicNow();
     std::thread finishing([&] { server.finish(); });
     for (auto &socket : idle) {
         socket.setReceiveTimeout(Poco::Timespan(2, 0));
         char byte = 0;
         CHECK(socket.receiveBytes(&byte, 1) == 0);
     }
-    CHECK(monotonicNow() - asked < slowTime / 2);
+    CHECK(monotonicNow() - startedAt < slowTime / 2);
     finishing.join();
-    for (auto &thread : asking) {
+    for (auto &thread : clientThreads) {
         thread.join();
     }
     CHECK(answered == 6);
 }
 
-TEST_CASE("A request that was read as the server finishes does not look as if its caller had left, and has its answer")
+TEST_CASE("A request that is read during a graceful shutdown is answered and does not look as if its client had disconnected")
 {
     constexpr int rounds = 20;
     constexpr int clients = 24;
-    constexpr int patienceSeconds = 5;
-    std::atomic<int> seenLeaving = 0;
+    constexpr int timeoutSeconds = 5;
+    std::atomic<int> disconnectsSeen = 0;
     std::atomic<int> broken = 0;
     for (int round = 0; round < rounds; ++round) {
         const auto address = freePort();
         http_server server(address, http_server_limits(), [&](http_exchange &exchange) {
-            pollfd caller{exchange.socketDescriptor(), POLLRDHUP, 0};
-            poll(&caller, 1, 1);
-            seenLeaving += (caller.revents & POLLRDHUP) != 0 ? 1 : 0;
+            pollfd watched{exchange.socketDescriptor(), POLLRDHUP, 0};
+            poll(&watched, 1, 1);
+            disconnectsSeen += (watched.revents & POLLRDHUP) != 0 ? 1 : 0;
             exchange.send(200, "text/plain", "whole");
         });
-        std::vector<std::thread> asking;
-        asking.reserve(clients);
+        std::vector<std::thread> clientThreads;
+        clientThreads.reserve(clients);
         for (int i = 0; i < clients; ++i) {
-            asking.emplace_back([&] {
+            clientThreads.emplace_back([&] {
                 try {
                     Poco::Net::StreamSocket socket(Poco::Net::SocketAddress(address.host, address.port));
                     Poco::Net::HTTPClientSession session(socket);
                     session.setKeepAlive(true);
-                    session.setTimeout(Poco::Timespan(patienceSeconds, 0));
+                    session.setTimeout(Poco::Timespan(timeoutSeconds, 0));
                     bool isOpen = true;
                     while (isOpen) {
-                        isOpen = askOn(session, "/quick") == 200 && session.connected();
+                        isOpen = requestStatus(session, "/quick") == 200 && session.connected();
                     }
                 } catch (const Poco::Exception &) {
-                    // The connection ended between two requests, or the server is no more.
+                    // The connection was closed between two requests, or the server no longer accepts connections.
                     ++broken;
                 }
             });
         }
         std::this_thread::sleep_for(duration(10));
         server.finish();
-        for (auto &thread : asking) {
+        for (auto &thread : clientThreads) {
             thread.join();
         }
     }
-    CHECK(seenLeaving == 0);
+    CHECK(disconnectsSeen == 0);
 }
 
-TEST_CASE("A connection that waits to be accepted ends at once when the server finishes")
+TEST_CASE("A connection in the backlog is closed immediately by a graceful shutdown")
 {
     const auto address = freePort();
     http_server server(address, http_server_limits(), [](http_exchange &exchange) { exchange.send(200, "text/plain", "whole"); });
     server.stopAccepting();
     Poco::Net::StreamSocket waiting(Poco::Net::SocketAddress(address.host, address.port));
     waiting.setReceiveTimeout(Poco::Timespan(2, 0));
-    const auto asked = monotonicNow();
+    const auto startedAt = monotonicNow();
     server.finish();
     char byte = 0;
     int received = 0;
@@ -182,10 +182,10 @@
     } catch (const Poco::TimeoutException &) {
         isLeftOpen = true;
     } catch (const Poco::Net::NetException &) {
-        // A reset ends it as well.
+        // A reset closes the connection as well.
         received = 0;
     }
     CHECK_FALSE(isLeftOpen);
     CHECK(received == 0);
-    CHECK(monotonicNow() - asked < duration(1000));
+    CHECK(monotonicNow() - startedAt < duration(1000));
 }
--- a/Tests/Platform/testMeasuredStore.cpp
+++ b/Tests/Platform/testMeasuredStore.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Answers as it is told, and tells what it was asked.
+/// Returns fixed results and records its calls.
 class scripted_store : public key_value_service
 {
 public:
@@ -62,7 +62,7 @@
 
 } // namespace
 
-TEST_CASE("Calls to the key-value service go on unchanged, and are counted by call and outcome")
+TEST_CASE("Calls to the key-value service are forwarded unchanged and counted by call and outcome")
 {
     metrics counters;
     std::string calls;
--- a/Tests/PlatformAdapter/relayFixture.h
+++ b/Tests/PlatformAdapter/relayFixture.h
@@ -137,7 +137,7 @@
     client_answer answer;
     http_upstream connection;
     reason why;
-    if (!connection.send(call, why) || connection.waitForAnswer(monotonicNow() + patience, -1) != upstream_wait::data) {
+    if (!connection.send(call, why) || connection.waitForAnswer(monotonicNow() + patience, -1) != upstream_event::data) {
         return answer;
     }
     const auto head = connection.readHead(why);
@@ -147,12 +147,12 @@
     answer.status = head->status;
     answer.headers = head->headers;
     std::string piece;
-    auto wait = upstream_wait::data;
-    while (wait == upstream_wait::data) {
+    auto wait = upstream_event::data;
+    while (wait == upstream_event::data) {
         wait = connection.nextPiece(piece, monotonicNow() + patience, -1);
         answer.body += piece;
     }
-    answer.isWhole = wait == upstream_wait::end;
+    answer.isWhole = wait == upstream_event::end;
     return answer;
 }
 
@@ -316,7 +316,7 @@
         http_upstream connection;
         reason why;
         REQUIRE(connection.send(callFor(path, "good", requestId), why));
-        CHECK(connection.waitForAnswer(monotonicNow() + duration(100), -1) == upstream_wait::timeout);
+        CHECK(connection.waitForAnswer(monotonicNow() + duration(100), -1) == upstream_event::timeout);
         connection.close();
     }
 
--- a/Tests/Soak/client_connection.cpp
+++ b/Tests/Soak/client_connection.cpp
@@ -92,7 +92,7 @@
             }
             const auto bytes = receive(evaluationPeriod);
             if (!bytes) {
-                return decoder && decoder->takeEnd() == body_decoder::state::complete ? answer_end::whole : answer_end::broken;
+                return decoder && decoder->consumeEnd() == body_decoder::state::complete ? answer_end::whole : answer_end::broken;
             }
             // What is there is read first: where this process stood still, the daemon must not be blamed for it.
             if (bytes->empty() && monotonicNow() >= latest) {
@@ -116,7 +116,7 @@
                 }
                 decoder.emplace(decoderOf(answer));
             }
-            const auto state = decoder->take(body, answer.body);
+            const auto state = decoder->consume(body, answer.body);
             answer.hasSurplus = decoder->hasSurplus();
             if (state != body_decoder::state::needs_more) {
                 return state == body_decoder::state::complete ? answer_end::whole : answer_end::broken;
--- a/Utilities/vetchpost/ask_command.cpp
+++ b/Utilities/vetchpost/ask_command.cpp
@@ -69,7 +69,7 @@
         return exit_refused;
     }
     std::string line;
-    while (stream.nextLine(line, monotonicNow() + longestSilence, -1) == stream_wait::line) {
+    while (stream.nextLine(line, monotonicNow() + longestSilence, -1) == stream_event::line) {
         if (!line.starts_with(dataPrefix)) {
             continue;
         }
