--- a/Utilities/vetchpost/ask_command.cpp
+++ b/Utilities/vetchpost/ask_command.cpp
@@ -12,18 +12,18 @@
 
 namespace {
 
-constexpr duration longestSilence(60000);
+constexpr duration idleTimeout(60000);
 constexpr std::string_view dataPrefix = "data: ";
 
-http_call makeQuestion(const command_options &options, const endpoint &address)
+http_call makeChatRequest(const command_options &options, const endpoint &address)
 {
     Json::Value message;
     message["role"] = "user";
-    message["content"] = options.text;
+    message["content"] = options.prompt;
     Json::Value body;
     body["model"] = options.model;
     body["stream"] = options.isStreamed;
-    body["max_tokens"] = Json::UInt64(std::strtoull(options.tokens.c_str(), nullptr, 10));
+    body["max_tokens"] = Json::UInt64(std::strtoull(options.maxTokens.c_str(), nullptr, 10));
     body["messages"].append(message);
     const auto *key = std::getenv("VETCHPOST_KEY");
     http_call call;
@@ -32,11 +32,11 @@
     call.target = "/v1/chat/completions";
     call.headers = {{"Authorization", std::string("Bearer ") + (key == nullptr ? "" : key)}, {"Content-Type", "application/json"}};
     call.body = toJsonText(body);
-    call.receiveTimeout = longestSilence;
+    call.receiveTimeout = idleTimeout;
     return call;
 }
 
-exit_code printWhole(const http_call &call)
+exit_code printAnswer(const http_call &call)
 {
     reason why;
     const auto reply = sendOnFreshConnection(call, why);
@@ -45,7 +45,7 @@
         return exit_no_daemon;
     }
     if (!reply->isSuccess()) {
-        printRefusal(*reply);
+        printErrorReply(*reply);
         return exit_refused;
     }
     const auto json = parseJson(reply->body).value_or(Json::Value());
@@ -53,7 +53,7 @@
     return exit_done;
 }
 
-exit_code printStream(const http_call &call)
+exit_code printAnswerStream(const http_call &call)
 {
     reason why;
     http_stream stream;
@@ -62,14 +62,14 @@
         fmt::print(stderr, "vetchpost: {}\n", why.text);
         return exit_no_daemon;
     }
-    constexpr int firstError = 300;
-    constexpr std::size_t largestError = 65536;
-    if (*status >= firstError) {
-        printRefusal({*status, stream.headers(), stream.readRest(largestError).value_or("")});
+    constexpr int firstErrorStatus = 300;
+    constexpr std::size_t maxErrorBytes = 65536;
+    if (*status >= firstErrorStatus) {
+        printErrorReply({*status, stream.headers(), stream.readRest(maxErrorBytes).value_or("")});
         return exit_refused;
     }
     std::string line;
-    while (stream.nextLine(line, monotonicNow() + longestSilence, -1) == stream_event::line) {
+    while (stream.nextLine(line, monotonicNow() + idleTimeout, -1) == stream_event::line) {
         if (!line.starts_with(dataPrefix)) {
             continue;
         }
@@ -85,21 +85,21 @@
         fmt::print("{}", jsonString(json["choices"][0]["delta"], "content"));
         std::fflush(stdout);
     }
-    fmt::print(stderr, "\nvetchpost: the answer broke off\n");
+    fmt::print(stderr, "\nvetchpost: the answer was cut off\n");
     return exit_refused;
 }
 
 } // namespace
 
-exit_code askModel(const command_options &options)
+exit_code sendChatRequest(const command_options &options)
 {
-    const auto address = parseEndpoint(options.callers);
+    const auto address = parseEndpoint(options.callersAddress);
     if (!address) {
-        fmt::print(stderr, "vetchpost: {} is no address of the form 127.0.0.1:8100\n", options.callers);
+        fmt::print(stderr, "vetchpost: {} is not an address of the form 127.0.0.1:8100\n", options.callersAddress);
         return exit_bad_arguments;
     }
-    const auto call = makeQuestion(options, *address);
-    return options.isStreamed ? printStream(call) : printWhole(call);
+    const auto call = makeChatRequest(options, *address);
+    return options.isStreamed ? printAnswerStream(call) : printAnswer(call);
 }
 
 } // namespace vetchpost
--- a/Utilities/vetchpost/configuration_commands.cpp
+++ b/Utilities/vetchpost/configuration_commands.cpp
@@ -16,10 +16,12 @@
 
 namespace {
 
+/// HTTP status with which a daemon refuses an edit because another one was accepted first.
 constexpr int conflictStatus = 412;
 
-/// The file's text where it is a good configuration; else its problems are printed.
-std::optional<std::string> readGoodFile(const command_options &options)
+/// Returns the text of the configuration file if it is valid. Prints its problems, or with --json the result of the check, and returns
+/// nothing if it cannot be read or is invalid.
+std::optional<std::string> readValidFile(const command_options &options)
 {
     const auto text = readTextFile(options.file);
     if (!text) {
@@ -27,10 +29,10 @@
         return std::nullopt;
     }
     std::vector<yaml_problem> problems;
-    const bool isGood = readConfiguration(*text, options.file, problems).has_value();
+    const bool isValid = readConfiguration(*text, options.file, problems).has_value();
     if (options.asJson) {
         Json::Value json;
-        json["good"] = isGood;
+        json["good"] = isValid;
         json["problems"] = Json::Value(Json::arrayValue);
         for (const auto &problem : problems) {
             json["problems"].append(problem.text());
@@ -41,7 +43,7 @@
             fmt::print(stderr, "{}\n", problem.text());
         }
     }
-    return isGood ? text : std::nullopt;
+    return isValid ? text : std::nullopt;
 }
 
 std::string newEditId()
@@ -58,9 +60,9 @@
 
 } // namespace
 
-exit_code checkFile(const command_options &options)
+exit_code checkConfigurationFile(const command_options &options)
 {
-    if (!readGoodFile(options)) {
+    if (!readValidFile(options)) {
         return exit_bad_arguments;
     }
     if (!options.asJson) {
@@ -69,9 +71,9 @@
     return exit_done;
 }
 
-exit_code showDifference(const command_options &options)
+exit_code showConfigurationDifference(const command_options &options)
 {
-    const auto text = readGoodFile(options);
+    const auto text = readValidFile(options);
     if (!text) {
         return exit_bad_arguments;
     }
@@ -80,42 +82,44 @@
         return exit_no_daemon;
     }
     if (!reply->isSuccess()) {
-        printRefusal(*reply);
+        printErrorReply(*reply);
         return exit_refused;
     }
     fmt::print("--- in force, revision {}\n+++ {}\n{}", reply->header("ETag"), options.file, lineDifference(reply->body, *text));
     return exit_done;
 }
 
-exit_code applyFile(const command_options &options)
+exit_code applyConfigurationFile(const command_options &options)
 {
-    auto quiet = options;
-    quiet.asJson = false;
-    const auto text = readGoodFile(quiet);
+    auto optionsWithoutJson = options;
+    optionsWithoutJson.asJson = false;
+    const auto text = readValidFile(optionsWithoutJson);
     if (!text) {
         return exit_bad_arguments;
     }
-    auto base = options.base.empty() ? std::string() : "\"" + options.base + "\"";
-    if (base.empty()) {
-        const auto present = callDaemon(options, "GET", "/v1/configuration");
-        if (!present) {
+    auto baseRevision = options.baseRevision.empty() ? std::string() : "\"" + options.baseRevision + "\"";
+    if (baseRevision.empty()) {
+        const auto current = callDaemon(options, "GET", "/v1/configuration");
+        if (!current) {
             return exit_no_daemon;
         }
-        base = present->header("ETag");
+        baseRevision = current->header("ETag");
     }
     const auto edit = options.editId.empty() ? newEditId() : options.editId;
     const auto author = options.author.empty() ? userName() : options.author;
-    const auto reply = callDaemon(options,
-                                  "PUT",
-                                  "/v1/configuration",
-                                  *text,
-                                  {{"If-Match", base}, {"X-Edit-Id", edit}, {"X-Author", author}, {"Content-Type", "application/yaml"}});
+    const auto reply
+        = callDaemon(options,
+                     "PUT",
+                     "/v1/configuration",
+                     *text,
+                     {{"If-Match", baseRevision}, {"X-Edit-Id", edit}, {"X-Author", author}, {"Content-Type", "application/yaml"}});
     if (!reply) {
-        fmt::print(stderr, "vetchpost: it is not known whether the edit was accepted; settle it with --edit-id {}\n", edit);
+        fmt::print(
+            stderr, "vetchpost: it is not known whether the edit was accepted; repeat the command with --edit-id {} to settle it\n", edit);
         return exit_no_daemon;
     }
     if (!reply->isSuccess()) {
-        printRefusal(*reply);
+        printErrorReply(*reply);
         return reply->status == conflictStatus ? exit_conflict : exit_refused;
     }
     const auto accepted = jsonNumber(parseJson(reply->body).value_or(Json::Value()), "accepted");
@@ -134,7 +138,7 @@
         return exit_no_daemon;
     }
     if (!reply->isSuccess()) {
-        printRefusal(*reply);
+        printErrorReply(*reply);
         return exit_refused;
     }
     fmt::print("{}", reply->body);
@@ -157,7 +161,7 @@
     return exit_done;
 }
 
-exit_code printDigest(const command_options &options)
+exit_code printKeyDigest(const command_options &options)
 {
     fmt::print("{}\n", keyDigest(options.key));
     return exit_done;
--- a/Utilities/vetchpost/crash_commands.cpp
+++ b/Utilities/vetchpost/crash_commands.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-constexpr auto path = "/crashing-requests";
+constexpr auto crashingRequestsPath = "/crashing-requests";
 
 } // namespace
 
-exit_code showCrashing(const command_options &options)
+exit_code showCrashingRequests(const command_options &options)
 {
-    const auto json = fetchJson(options, path);
+    const auto json = fetchJson(options, crashingRequestsPath);
     if (!json) {
         return exit_no_daemon;
     }
@@ -24,7 +24,7 @@
         return exit_done;
     }
     for (const auto &request : jsonArray(*json, "refused")) {
-        fmt::print("{}  {:<20} {} replicas ended under it, the last {:.0f} s ago; refused for {:.0f} s more\n",
+        fmt::print("{}  {:<20} {} replicas terminated while running it, the last {:.0f} s ago; refused for another {:.0f} s\n",
                    jsonString(request, "identity"),
                    jsonString(request, "organisation"),
                    jsonNumber(request, "replicas_ended"),
@@ -34,9 +34,9 @@
     return exit_done;
 }
 
-exit_code allowCrashing(const command_options &options)
+exit_code allowCrashingRequest(const command_options &options)
 {
-    const auto reply = callDaemon(options, "POST", std::string(path) + "?allow=" + options.identity, {}, {});
+    const auto reply = callDaemon(options, "POST", std::string(crashingRequestsPath) + "?allow=" + options.identity, {}, {});
     if (!reply) {
         return exit_no_daemon;
     }
--- a/Utilities/vetchpost/explain_command.cpp
+++ b/Utilities/vetchpost/explain_command.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Libraries/Explain/request_story.h"
+#include "Libraries/Explain/request_timeline.h"
 #include "Utilities/vetchpost/commands.h"
 
 #include <fmt/format.h>
@@ -18,24 +18,24 @@
             fmt::print(stderr, "{}: cannot be read\n", path);
             return exit_bad_arguments;
         }
-        collector.take(log);
+        collector.addLog(log);
     }
     if (options.logFiles.empty()) {
-        collector.take(std::cin);
+        collector.addLog(std::cin);
     }
-    const auto story = collector.storyOf(options.request);
-    if (story.entries.empty()) {
-        fmt::print(stderr, "No line names the request {} ({} lines could not be read).\n", options.request, story.unreadable);
+    const auto timeline = collector.timelineOf(options.request);
+    if (timeline.entries.empty()) {
+        fmt::print(stderr, "No log line names the request {} ({} lines could not be read).\n", options.request, timeline.unreadableLines);
         return exit_refused;
     }
-    const auto begin = story.entries.front().milliseconds;
-    for (const auto &entry : story.entries) {
+    const auto begin = timeline.entries.front().milliseconds;
+    for (const auto &entry : timeline.entries) {
         fmt::print("{:>7} ms  {:<20} {:<9} {:<22} {}\n", entry.milliseconds - begin, entry.daemon, entry.part, entry.event, entry.details);
     }
-    for (const auto &sentence : story.neighbours) {
+    for (const auto &sentence : timeline.otherRequests) {
         fmt::print("{}\n", sentence);
     }
-    fmt::print("{}\n", story.verdict);
+    fmt::print("{}\n", timeline.outcomeSummary);
     return exit_done;
 }
 
--- a/Utilities/vetchpost/line_difference.cpp
+++ b/Utilities/vetchpost/line_difference.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::vector<std::string> linesOf(const std::string &text)
+std::vector<std::string> splitLines(const std::string &text)
 {
     std::vector<std::string> lines;
     std::istringstream stream(text);
@@ -23,13 +23,14 @@
 
 std::string lineDifference(const std::string &first, const std::string &second)
 {
-    const auto before = linesOf(first);
-    const auto after = linesOf(second);
-    // The longest common subsequence, from the ends: shared[i][j] is its length for the lines from i and from j on.
-    std::vector<std::vector<std::size_t>> shared(before.size() + 1, std::vector<std::size_t>(after.size() + 1, 0));
+    const auto before = splitLines(first);
+    const auto after = splitLines(second);
+    // Longest common subsequence, computed from the ends: commonLength[i][j] is its length for the lines from i and from j to the end.
+    std::vector<std::vector<std::size_t>> commonLength(before.size() + 1, std::vector<std::size_t>(after.size() + 1, 0));
     for (std::size_t i = before.size(); i-- > 0;) {
         for (std::size_t j = after.size(); j-- > 0;) {
-            shared[i][j] = before[i] == after[j] ? shared[i + 1][j + 1] + 1 : std::max(shared[i + 1][j], shared[i][j + 1]);
+            commonLength[i][j]
+                = before[i] == after[j] ? commonLength[i + 1][j + 1] + 1 : std::max(commonLength[i + 1][j], commonLength[i][j + 1]);
         }
     }
     std::string result;
@@ -39,7 +40,7 @@
         if (i < before.size() && j < after.size() && before[i] == after[j]) {
             ++i;
             ++j;
-        } else if (j == after.size() || (i < before.size() && shared[i + 1][j] >= shared[i][j + 1])) {
+        } else if (j == after.size() || (i < before.size() && commonLength[i + 1][j] >= commonLength[i][j + 1])) {
             result += "-" + before[i++] + "\n";
         } else {
             result += "+" + after[j++] + "\n";
--- a/Utilities/vetchpost/line_difference.h
+++ b/Utilities/vetchpost/line_difference.h
@@ -5,7 +5,7 @@
 
 namespace vetchpost {
 
-/// The lines that two texts do not share, marked "-" for the first and "+" for the second.
+/// Returns the lines in which two texts differ, marked "-" if only the first has them and "+" if only the second does.
 std::string lineDifference(const std::string &first, const std::string &second);
 
 } // namespace vetchpost
--- a/Utilities/vetchpost/main.cpp
+++ b/Utilities/vetchpost/main.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr auto usage = R"(vetchpost - the operators' and callers' command line.
+constexpr auto usage = R"(vetchpost - command line for operators and callers.
 
 Usage:
   vetchpost check FILE [--json]
@@ -29,26 +29,26 @@
 Commands:
   check    Check a configuration file without a daemon.
   diff     Show how a file differs from the configuration in force.
-  apply    Make a file the configuration in force. Fails where another edit was accepted since REVISION.
+  apply    Make a file the configuration in force. Fails if another edit was accepted after REVISION.
   show     Print the configuration in force.
   history  List the accepted edits, newest first.
-  status   Show the daemons, the revision in force at each, the queues and what is short.
+  status   Show the daemons, the revision in force at each, the queues and the deployments short of replicas.
   groups   Show the replica groups of the daemon's data centre and what they wait for.
-  why      Show the last decisions on a group, with the alternatives that were weighed.
+  why      Show the last decisions about a group and the alternatives that were considered.
   digest   Print the digest of a caller's key, for the configuration.
   ask      Send a request as a caller.
-  explain  Tell what became of a request, from the logs of entry daemons; without files, from the standard input.
-  crashing Show which requests an entry daemon refuses because replicas ended under them.
-  allow    Let a request with this identity run again, at all daemons.
+  explain  Print what happened to a request, from the logs of entry daemons; without files, from the standard input.
+  crashing Show which requests an entry daemon refuses because replicas terminated while running them.
+  allow    Let the request with this identity run again, at all daemons.
 
 Options:
-  --daemon ADDRESS   The operators' interface of any daemon; of an entry daemon its address for peers [default: 127.0.0.1:8101].
-  --callers ADDRESS  The callers' interface of any daemon [default: 127.0.0.1:8100].
-  --base REVISION    The revision that the edit was made for; the one in force if not given.
-  --author NAME      Who edits; the user's name if not given.
-  --edit-id ID       The edit's id; send the same id again where a reply was lost.
-  --stream           Print the answer as it comes.
-  --tokens N         The most tokens of the answer [default: 24].
+  --daemon ADDRESS   Address of any daemon's operators' interface; of an entry daemon, its address for peers [default: 127.0.0.1:8101].
+  --callers ADDRESS  Address of any daemon's callers' interface [default: 127.0.0.1:8100].
+  --base REVISION    The revision that the edit is based on; the one in force if not given.
+  --author NAME      Author of the edit; the user's name if not given.
+  --edit-id ID       Id of the edit; send the same id again if a reply was lost.
+  --stream           Print the answer as it arrives.
+  --tokens N         Maximum number of tokens in the answer [default: 24].
   --json             Print JSON.
 
 Environment: VETCHPOST_OPERATOR_TOKEN holds the operators' token, VETCHPOST_KEY the caller's key.
@@ -58,7 +58,7 @@
 
 constexpr auto version = "vetchpost 0.1.0";
 
-vetchpost::command_options optionsFrom(const std::map<std::string, docopt::value> &arguments)
+vetchpost::command_options parseOptions(const std::map<std::string, docopt::value> &arguments)
 {
     const auto text = [&](const char *name) {
         const auto found = arguments.find(name);
@@ -69,13 +69,13 @@
     options.group = text("GROUP");
     options.key = text("KEY");
     options.model = text("MODEL");
-    options.text = text("TEXT");
-    options.daemon = text("--daemon");
-    options.callers = text("--callers");
-    options.base = text("--base");
+    options.prompt = text("TEXT");
+    options.daemonAddress = text("--daemon");
+    options.callersAddress = text("--callers");
+    options.baseRevision = text("--base");
     options.author = text("--author");
     options.editId = text("--edit-id");
-    options.tokens = text("--tokens");
+    options.maxTokens = text("--tokens");
     options.request = text("REQUEST");
     options.identity = text("IDENTITY");
     options.logFiles = arguments.at("LOGFILE").asStringList();
@@ -90,7 +90,7 @@
 {
     std::signal(SIGPIPE, SIG_IGN);
     const auto arguments = docopt::docopt(usage, {argv + 1, argv + argc}, true, version);
-    const auto options = optionsFrom(arguments);
+    const auto options = parseOptions(arguments);
     for (const auto &command : vetchpost::commands()) {
         if (arguments.at(command.name).asBool()) {
             return command.run(options);
--- a/Utilities/vetchpost/operator_client.cpp
+++ b/Utilities/vetchpost/operator_client.cpp
@@ -14,7 +14,7 @@
 
 constexpr duration callTimeout(30000);
 
-std::string environment(const char *name)
+std::string environmentVariable(const char *name)
 {
     const auto *value = std::getenv(name);
     return value == nullptr ? std::string() : value;
@@ -28,9 +28,9 @@
                                      const std::string &body,
                                      const std::vector<http_header> &headers)
 {
-    const auto address = parseEndpoint(options.daemon);
+    const auto address = parseEndpoint(options.daemonAddress);
     if (!address) {
-        fmt::print(stderr, "vetchpost: {} is no address of the form 127.0.0.1:8101\n", options.daemon);
+        fmt::print(stderr, "vetchpost: {} is not an address of the form 127.0.0.1:8101\n", options.daemonAddress);
         return std::nullopt;
     }
     http_call call;
@@ -38,7 +38,7 @@
     call.method = method;
     call.target = target;
     call.headers = headers;
-    call.headers.push_back({"Authorization", "Bearer " + environment("VETCHPOST_OPERATOR_TOKEN")});
+    call.headers.push_back({"Authorization", "Bearer " + environmentVariable("VETCHPOST_OPERATOR_TOKEN")});
     call.body = body;
     call.receiveTimeout = callTimeout;
     reason why;
@@ -56,17 +56,17 @@
         return std::nullopt;
     }
     if (!reply->isSuccess()) {
-        printRefusal(*reply);
+        printErrorReply(*reply);
         return std::nullopt;
     }
     return parseJson(reply->body);
 }
 
-void printRefusal(const http_reply &reply)
+void printErrorReply(const http_reply &reply)
 {
     const auto json = parseJson(reply.body);
     if (!json || !json->isObject()) {
-        fmt::print(stderr, "vetchpost: the daemon answered {}\n", reply.status);
+        fmt::print(stderr, "vetchpost: the daemon answered with status {}\n", reply.status);
         return;
     }
     const auto &error = (*json)["error"];
--- a/Utilities/vetchpost/operator_client.h
+++ b/Utilities/vetchpost/operator_client.h
@@ -10,15 +10,17 @@
 
 namespace vetchpost {
 
-/// Calls the operators' interface of the daemon that the options name; what went wrong is printed.
+/// Sends a request to the operators' interface of the daemon that the options name. Returns the reply, whatever its status; if there is
+/// none, prints the reason and returns nothing.
 std::optional<http_reply> callDaemon(const command_options &options,
                                      const std::string &method,
                                      const std::string &target,
                                      const std::string &body = {},
                                      const std::vector<http_header> &headers = {});
-/// As callDaemon() for a JSON answer; nothing, with the refusal printed, where it was refused.
+/// Fetches JSON from the daemon with a GET request. Prints the error and returns nothing if there is no reply or it is an error; returns
+/// nothing too if the body is not JSON.
 std::optional<Json::Value> fetchJson(const command_options &options, const std::string &target);
-/// Prints the error of a reply.
-void printRefusal(const http_reply &reply);
+/// Prints the error of a reply with its list of problems and the conflicting edits; the status alone if the body is not a JSON object.
+void printErrorReply(const http_reply &reply);
 
 } // namespace vetchpost
--- a/Utilities/vetchpost/view_commands.cpp
+++ b/Utilities/vetchpost/view_commands.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// Fetches a view and prints it as JSON, or as \a print makes it.
+/// Fetches JSON from a daemon and prints it, as JSON if the options ask for it, otherwise with \a print.
 template <class Print>
-exit_code show(const command_options &options, const std::string &target, Print print)
+exit_code fetchAndPrint(const command_options &options, const std::string &target, Print print)
 {
     const auto json = fetchJson(options, target);
     if (!json) {
@@ -25,7 +25,7 @@
     return exit_done;
 }
 
-std::string joined(const Json::Value &texts)
+std::string joinTexts(const Json::Value &texts)
 {
     std::string result;
     for (const auto &text : texts) {
@@ -36,15 +36,15 @@
 
 void printMembers(const Json::Value &status)
 {
-    std::uint64_t highest = 0;
+    std::uint64_t highestRevision = 0;
     for (const auto &member : jsonArray(status, "members")) {
-        highest = std::max(highest, jsonNumber(member, "in_force"));
+        highestRevision = std::max(highestRevision, jsonNumber(member, "in_force"));
     }
     fmt::print("{:<16} {:<16} {:<9} {:>9}  {}\n", "DAEMON", "DATA CENTRE", "LIVENESS", "IN FORCE", "NOTES");
     for (const auto &member : jsonArray(status, "members")) {
         std::string notes = jsonFlag(member, "coordinates") ? "coordinates " : "";
         notes += jsonFlag(member, "stopping") ? "stopping " : "";
-        notes += jsonNumber(member, "in_force") < highest ? "lags" : "";
+        notes += jsonNumber(member, "in_force") < highestRevision ? "lags" : "";
         fmt::print("{:<16} {:<16} {:<9} {:>9}  {}\n",
                    jsonString(member, "daemon"),
                    jsonString(member, "data_centre"),
@@ -78,7 +78,7 @@
                    jsonString(group, "standing"),
                    jsonNumber(group, "standing_seconds"),
                    jsonString(group, "domain"),
-                   joined(jsonArray(group, "awaited")));
+                   joinTexts(jsonArray(group, "awaited")));
     }
 }
 
@@ -99,35 +99,35 @@
 
 exit_code showStatus(const command_options &options)
 {
-    return show(options, "/v1/status", printStatus);
+    return fetchAndPrint(options, "/v1/status", printStatus);
 }
 
 exit_code showGroups(const command_options &options)
 {
-    return show(options, "/v1/groups", printGroups);
+    return fetchAndPrint(options, "/v1/groups", printGroups);
 }
 
 exit_code showDecisions(const command_options &options)
 {
-    return show(options, "/v1/decisions?group=" + options.group, printDecisions);
+    return fetchAndPrint(options, "/v1/decisions?group=" + options.group, printDecisions);
 }
 
 const std::vector<command> &commands()
 {
     static const std::vector<command> all = {
-        {"check", checkFile},
-        {"diff", showDifference},
-        {"apply", applyFile},
+        {"check", checkConfigurationFile},
+        {"diff", showConfigurationDifference},
+        {"apply", applyConfigurationFile},
         {"show", showConfiguration},
         {"history", showHistory},
         {"status", showStatus},
         {"groups", showGroups},
         {"why", showDecisions},
-        {"digest", printDigest},
-        {"ask", askModel},
+        {"digest", printKeyDigest},
+        {"ask", sendChatRequest},
         {"explain", explainRequest},
-        {"crashing", showCrashing},
-        {"allow", allowCrashing},
+        {"crashing", showCrashingRequests},
+        {"allow", allowCrashingRequest},
     };
     return all;
 }
