--- a/Tests/Soak/bound_checks.cpp
+++ b/Tests/Soak/bound_checks.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The checks of bounds: of time, of repeats and of what a process uses.
+// Checks of bounds on times, on retries and on resource use.
 #include "Tests/Soak/fact_queries.h"
 #include "Tests/Soak/soak_client.h"
 
@@ -12,18 +12,18 @@
 
 namespace {
 
-/// How many of \a times lie in [from, until).
+/// Returns how many of the sorted \a times lie in [from, until).
 std::ptrdiff_t countBetween(const std::vector<instant> &times, instant from, instant until)
 {
     return std::lower_bound(times.begin(), times.end(), until) - std::lower_bound(times.begin(), times.end(), from);
 }
 
-/// The arrivals for each service beyond the first of each request, in order.
-std::map<std::string, std::vector<instant>> repeatsByService(const soak_facts &facts)
+/// Returns for each service the sorted times of all arrivals except the first one of each request.
+std::map<std::string, std::vector<instant>> retriesByService(const soak_facts &facts)
 {
     std::map<std::string, std::vector<instant>> result;
     const auto attempts = attemptsById(facts);
-    for (const auto &[id, arrivals] : eventsOf(facts, "arrived")) {
+    for (const auto &[id, arrivals] : eventsByAttempt(facts, "arrived")) {
         const auto attempt = attempts.find(id);
         for (std::size_t number = 1; number < arrivals.size() && attempt != attempts.end(); ++number) {
             result[attempt->second->service].push_back(arrivals[number]->at);
@@ -35,7 +35,8 @@
     return result;
 }
 
-std::vector<instant> requestsFor(const soak_facts &facts, const std::string &service)
+/// Returns the sorted times at which clients sent requests for the service.
+std::vector<instant> requestTimes(const soak_facts &facts, const std::string &service)
 {
     std::vector<instant> result;
     for (const auto &attempt : facts.attempts) {
@@ -49,23 +50,23 @@
 
 } // namespace
 
-broken_promises checkRepeats(const soak_facts &facts, const soak_bounds &bounds)
+broken_promises checkRetries(const soak_facts &facts, const soak_bounds &bounds)
 {
-    for (const auto &[service, repeats] : repeatsByService(facts)) {
-        const auto requests = requestsFor(facts, service);
-        for (const auto end : repeats) {
+    for (const auto &[service, retries] : retriesByService(facts)) {
+        const auto requests = requestTimes(facts, service);
+        for (const auto end : retries) {
             const auto until = end + duration(1);
             const auto inWindow = [&](const auto &times, duration before) {
                 return countBetween(times, until - bounds.retryWindow - before, until - before);
             };
-            // Of this window, the one before it and the one between them, the fullest counts.
-            const auto most = std::max(
+            // The budget is based on the largest number of requests in this window, the one before it and the one halfway between them.
+            const auto maxRequests = std::max(
                 {inWindow(requests, duration(0)), inWindow(requests, bounds.retryWindow / 2), inWindow(requests, bounds.retryWindow)});
-            const auto count = inWindow(repeats, duration(0));
-            const auto allowed = bounds.retryShare * static_cast<double>(most) + bounds.retrySlack;
+            const auto count = inWindow(retries, duration(0));
+            const auto allowed = bounds.retryShare * static_cast<double>(maxRequests) + bounds.retrySlack;
             if (static_cast<double>(count) > allowed) {
                 return {{"all daemons together keep the bound of repeats",
-                         fmt::format("{}: {} repeats in a window, {} requests allow {:.1f}", service, count, most, allowed),
+                         fmt::format("{}: {} repeats in a window, {} requests allow {:.1f}", service, count, maxRequests, allowed),
                          {}}};
             }
         }
@@ -75,16 +76,17 @@
 
 namespace {
 
-constexpr std::size_t endsUntilKnown = 3;
+constexpr std::size_t endsUntilDeadly = 3;
 
-/// A deadly client's attempts are the same request under other ids; empty for other clients.
+/// Returns the common prefix of the ids of a deadly client's attempts, which are all the same request. Empty for the attempts of other
+/// clients.
 std::string deadlyRequestOf(const request_id &attempt)
 {
     const auto &id = attempt.value();
     return id.starts_with(deadlyIdPrefix) ? id.substr(0, id.find('-')) : std::string();
 }
 
-/// The events of one kind for each deadly request, in order.
+/// Returns the events of kind \a what for each deadly request, in the order of the recorded facts.
 std::map<std::string, std::vector<const platform_event *>> deadlyEvents(const soak_facts &facts, const std::string &what)
 {
     std::map<std::string, std::vector<const platform_event *>> result;
@@ -105,14 +107,15 @@
     const auto attempts = attemptsById(facts);
     auto arrivals = deadlyEvents(facts, "arrived");
     for (const auto &[request, ends] : deadlyEvents(facts, "ended_replica")) {
-        if (ends.size() < endsUntilKnown) {
+        if (ends.size() < endsUntilDeadly) {
             continue;
         }
-        const auto known = ends[endsUntilKnown - 1]->at + bounds.contact;
+        const auto deadlySince = ends[endsUntilDeadly - 1]->at + bounds.settlingTime;
         const auto &all = arrivals[request];
         const auto late = std::count_if(all.begin(), all.end(), [&](const platform_event *arrival) {
             const auto attempt = attempts.find(arrival->attempt);
-            return arrival->at > known && attempt != attempts.end() && isInTouch(facts, bounds, attempt->second->daemon, arrival->at);
+            return arrival->at > deadlySince && attempt != attempts.end()
+                && isUndisturbed(facts, bounds, attempt->second->daemon, arrival->at);
         });
         if (static_cast<std::size_t>(late) > bounds.deadlySends) {
             broken.push_back({"a request that ends replicas is kept from them",
@@ -126,7 +129,7 @@
 broken_promises checkWithdrawnKeys(const soak_facts &facts, const soak_bounds &bounds)
 {
     broken_promises broken;
-    const auto runs = eventsOf(facts, "ran");
+    const auto runs = eventsByAttempt(facts, "ran");
     for (const auto &configuration : facts.configurations) {
         const auto latest = configuration.acceptedAt + bounds.keyRevocation;
         for (const auto &attempt : facts.attempts) {
@@ -145,8 +148,8 @@
 
 constexpr int notFound = 404;
 
-/// Whether the probe shows that its version is in force at the daemon; nothing where it shows neither.
-std::optional<bool> showsInForce(const attempt_fact &probe)
+/// Returns whether the probe found its version in force at the daemon, or nothing if its result is inconclusive.
+std::optional<bool> isVersionInForce(const attempt_fact &probe)
 {
     if (probe.end == attempt_end::answered) {
         return true;
@@ -154,7 +157,7 @@
     return probe.status == notFound ? std::optional(false) : std::nullopt;
 }
 
-/// The newest version that had been accepted so long before; 0 for none.
+/// Returns the newest version that was accepted at or before \a before, or 0 if there is none.
 std::uint64_t newestAccepted(const soak_facts &facts, instant before)
 {
     std::uint64_t newest = 0;
@@ -178,20 +181,20 @@
         }
     }
     for (const auto *probe : probes) {
-        const auto inForce = showsInForce(*probe);
+        const auto inForce = isVersionInForce(*probe);
         const auto due = newestAccepted(facts, probe->sentAt - bounds.configurationApply);
-        const bool isOld
+        const bool isOutdated
             = inForce && (*inForce ? probe->version < due : probe->version == due && newestAccepted(facts, probe->endedAt) == due);
-        if (isOld && isInTouch(facts, bounds, probe->daemon, probe->sentAt)) {
+        if (isOutdated && isUndisturbed(facts, bounds, probe->daemon, probe->sentAt)) {
             broken.push_back(
                 {"a configuration is in force in time", fmt::format("daemon {}, version {} is due", probe->daemon, due), probe->id});
         }
-        const bool isBehind = std::any_of(probes.begin(), probes.end(), [&](const attempt_fact *earlier) {
+        const bool hasReverted = std::any_of(probes.begin(), probes.end(), [&](const attempt_fact *earlier) {
             return inForce == true && earlier->daemon == probe->daemon && earlier->incarnation == probe->incarnation
-                && earlier->version > probe->version && showsInForce(*earlier) == true
+                && earlier->version > probe->version && isVersionInForce(*earlier) == true
                 && probe->sentAt > earlier->endedAt + bounds.rollbackSlack;
         });
-        if (isBehind) {
+        if (hasReverted) {
             broken.push_back({"a configuration in force never reverts",
                               fmt::format("daemon {} went back to version {}", probe->daemon, probe->version),
                               probe->id});
@@ -227,11 +230,11 @@
 broken_promises checkResources(const soak_facts &facts, const soak_bounds &bounds)
 {
     broken_promises broken;
-    std::set<int> told;
+    std::set<int> reported;
     for (const auto &sample : facts.samples) {
         const bool isOver
             = sample.memoryKilobytes > bounds.memoryKilobytes || sample.threads > bounds.threads || sample.descriptors > bounds.descriptors;
-        if (isOver && told.insert(sample.daemon).second) {
+        if (isOver && reported.insert(sample.daemon).second) {
             broken.push_back({"a daemon's memory, threads and descriptors stay bounded",
                               fmt::format("daemon {} at {}: {} kB, {} threads, {} descriptors",
                                           sample.daemon,
--- a/Tests/Soak/child_process.cpp
+++ b/Tests/Soak/child_process.cpp
@@ -17,7 +17,7 @@
 
 constexpr int logMode = 0644;
 
-/// The file actions and attributes of a start, freed with it.
+/// The file actions and attributes for posix_spawn, freed by the destructor.
 struct spawn_options
 {
     posix_spawn_file_actions_t actions{};
@@ -28,9 +28,9 @@
         posix_spawn_file_actions_init(&actions);
         posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, logFile.c_str(), O_WRONLY | O_CREAT | O_APPEND, logMode);
         posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO);
-        // A connection that a child also held open would not close with this process.
+        // A connection that the child had inherited would stay open after this process closes it.
         posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
-        // The child starts without the signal mask of this process.
+        // The child starts with an empty signal mask.
         posix_spawnattr_init(&attributes);
         sigset_t none;
         sigemptyset(&none);
@@ -74,7 +74,7 @@
 
 void child_process::signal(int number)
 {
-    // Once it has been waited for, its id may belong to another process.
+    // After the process has been reaped, its id may belong to another process.
     if (!endedAt()) {
         kill(m_process, number);
     }
--- a/Tests/Soak/child_process.h
+++ b/Tests/Soak/child_process.h
@@ -7,20 +7,21 @@
 
 namespace vetchpost::test {
 
-/// A program that this process started, with its output in a file. It is ended by its id alone, at the latest with this object.
+/// A child process whose output goes to a file. Signals go to its process id alone. The destructor kills it if it still runs.
 class child_process
 {
 public:
-    /// Throws where the program cannot be started. Output is added to \a logFile.
+    /// Starts \a command and appends its output to \a logFile. Throws std::runtime_error if the program cannot be started.
     child_process(const std::vector<std::string> &command, const std::string &logFile);
     ~child_process();
     child_process(const child_process &) = delete;
     child_process &operator=(const child_process &) = delete;
 
+    /// Sends a signal to the process; does nothing once it has ended.
     void signal(int number);
-    /// When it was seen to have ended; nothing while it runs.
+    /// Returns when the process was first seen to have ended, or nothing while it runs.
     std::optional<instant> endedAt();
-    /// What it uses now; nothing where it cannot be read.
+    /// Returns the process's current resource use, or nothing if it has ended or /proc cannot be read.
     std::optional<resource_sample> resources();
 
 private:
--- a/Tests/Soak/client_connection.cpp
+++ b/Tests/Soak/client_connection.cpp
@@ -17,10 +17,10 @@
 
 constexpr duration connectTimeout(1000);
 constexpr auto headEnd = "\r\n\r\n";
-/// How soon a client notices that it wants to leave.
-constexpr duration evaluationPeriod(20);
+/// How often a client that receives nothing checks whether to abandon its request or give up.
+constexpr duration pollPeriod(20);
 
-/// False where it is no answer's head.
+/// Parses the status line and the headers into \a answer. Returns false if the status line is not that of an HTTP/1 answer.
 bool readHead(const std::string &head, client_answer &answer)
 {
     std::istringstream in(head);
@@ -40,7 +40,8 @@
     return true;
 }
 
-body_decoder decoderOf(const client_answer &answer)
+/// Returns the decoder for the body framing that the answer's headers declare.
+body_decoder makeBodyDecoder(const client_answer &answer)
 {
     if (Poco::icompare(headerValue(answer.headers, "Transfer-Encoding"), std::string("chunked")) == 0) {
         return body_decoder(body_framing::chunked);
@@ -56,7 +57,7 @@
     Poco::Net::StreamSocket socket;
     bool isOpen = false;
 
-    /// What came until then; nothing at the end of the connection.
+    /// Waits up to \a time for bytes. Returns an empty string if none arrived, or nothing if the peer closed the connection.
     std::optional<std::string> receive(duration time)
     {
         std::array<char, 8192> buffer{};
@@ -80,28 +81,28 @@
         socket.close();
     }
 
-    /// Takes bytes until the answer is whole, broken or left.
-    answer_end readAnswer(client_answer &answer, duration patience, const std::function<bool(const std::string &)> &leaves)
+    /// Reads until the answer is complete, broken or abandoned.
+    answer_end readAnswer(client_answer &answer, duration maxSilence, const std::function<bool(const std::string &)> &shouldAbandon)
     {
         std::string head;
         std::optional<body_decoder> decoder;
-        auto latest = monotonicNow() + patience;
+        auto deadline = monotonicNow() + maxSilence;
         for (;;) {
-            if (leaves(answer.body)) {
-                return answer_end::left;
+            if (shouldAbandon(answer.body)) {
+                return answer_end::abandoned;
             }
-            const auto bytes = receive(evaluationPeriod);
+            const auto bytes = receive(pollPeriod);
             if (!bytes) {
                 return decoder && decoder->consumeEnd() == body_decoder::state::complete ? answer_end::whole : answer_end::broken;
             }
-            // What is there is read first: where this process stood still, the daemon must not be blamed for it.
-            if (bytes->empty() && monotonicNow() >= latest) {
+            // Bytes that have arrived are read before the time limit is checked: a stall of this process must not count against the daemon.
+            if (bytes->empty() && monotonicNow() >= deadline) {
                 return answer_end::broken;
             }
             if (bytes->empty()) {
                 continue;
             }
-            latest = monotonicNow() + patience;
+            deadline = monotonicNow() + maxSilence;
             auto body = *bytes;
             if (!decoder) {
                 head += *bytes;
@@ -114,7 +115,7 @@
                     answer.hasSurplus = true;
                     return answer_end::broken;
                 }
-                decoder.emplace(decoderOf(answer));
+                decoder.emplace(makeBodyDecoder(answer));
             }
             const auto state = decoder->consume(body, answer.body);
             answer.hasSurplus = decoder->hasSurplus();
@@ -133,7 +134,7 @@
         d->socket.setNoDelay(true);
         d->isOpen = true;
     } catch (const Poco::Exception &) {
-        // isOpen() tells it.
+        // isOpen() reports the failure.
         d->close();
     }
 }
@@ -146,14 +147,14 @@
 }
 
 client_answer
-client_connection::exchange(const std::string &request, duration patience, const std::function<bool(const std::string &)> &leaves)
+client_connection::exchange(const std::string &request, duration maxSilence, const std::function<bool(const std::string &)> &shouldAbandon)
 {
     client_answer answer;
     answer.sentAt = monotonicNow();
     try {
         const auto early = d->receive(duration(0));
         if (!early || !early->empty()) {
-            // Closed while idle, or bytes without a request.
+            // The daemon closed the idle connection, or sent bytes without a request.
             answer.hasSurplus = early.has_value();
             d->close();
             return answer;
@@ -161,13 +162,13 @@
         d->send(request);
         answer.sentAt = monotonicNow();
         answer.end = answer_end::broken;
-        answer.end = d->readAnswer(answer, patience, leaves);
+        answer.end = d->readAnswer(answer, maxSilence, shouldAbandon);
     } catch (const Poco::Exception &) {
-        // The connection broke: the end that is set says how far it came.
+        // The connection broke; answer.end already records whether the request had been sent.
         d->close();
     }
-    const bool isKept = Poco::icompare(headerValue(answer.headers, "Connection"), std::string("close")) != 0;
-    if (answer.end != answer_end::whole || answer.hasSurplus || !isKept) {
+    const bool isPersistent = Poco::icompare(headerValue(answer.headers, "Connection"), std::string("close")) != 0;
+    if (answer.end != answer_end::whole || answer.hasSurplus || !isPersistent) {
         d->close();
     }
     return answer;
--- a/Tests/Soak/client_connection.h
+++ b/Tests/Soak/client_connection.h
@@ -10,8 +10,10 @@
 
 namespace vetchpost::test {
 
-enum class answer_end { whole, broken, not_sent, left };
+/// How an exchange of a request and its answer ended.
+enum class answer_end { whole, broken, not_sent, abandoned };
 
+/// The answer that a client received, as far as it came.
 struct client_answer
 {
     answer_end end = answer_end::not_sent;
@@ -19,11 +21,11 @@
     std::vector<http_header> headers;
     std::string body;
     instant sentAt;
-    /// Bytes came that belong to no answer.
+    /// Bytes arrived that belong to no answer.
     bool hasSurplus = false;
 };
 
-/// A client's connection, kept for many requests. It never sends anything twice.
+/// A client's persistent HTTP/1.1 connection, for one request at a time. It never resends a request.
 class client_connection
 {
 public:
@@ -32,10 +34,10 @@
     client_connection(const client_connection &) = delete;
     client_connection &operator=(const client_connection &) = delete;
 
-    /// Sends a request and reads the answer; gives up after a silence of \a patience. Leaves, closing the connection, once \a leaves says
-    /// so of the body that has come.
-    client_answer exchange(const std::string &request, duration patience, const std::function<bool(const std::string &)> &leaves);
-    /// Whether another request may be sent.
+    /// Sends a request and reads the answer. The answer counts as broken when no byte arrives for \a maxSilence. Closes the connection
+    /// early when \a shouldAbandon returns true for the body received so far.
+    client_answer exchange(const std::string &request, duration maxSilence, const std::function<bool(const std::string &)> &shouldAbandon);
+    /// Returns whether another request may be sent on this connection.
     bool isOpen() const;
 
 private:
--- a/Tests/Soak/fact_queries.cpp
+++ b/Tests/Soak/fact_queries.cpp
@@ -5,7 +5,7 @@
 
 namespace vetchpost::test {
 
-events_by_attempt eventsOf(const soak_facts &facts, const std::string &what)
+events_by_attempt eventsByAttempt(const soak_facts &facts, const std::string &what)
 {
     events_by_attempt result;
     for (const auto &event : facts.events) {
@@ -30,7 +30,7 @@
     return fault.from <= until && fault.until >= from;
 }
 
-bool strikes(const disturbance &fault, int daemon)
+bool mayAffect(const disturbance &fault, int daemon)
 {
     return !fault.daemon || *fault.daemon == daemon;
 }
@@ -42,10 +42,10 @@
     });
 }
 
-bool isInTouch(const soak_facts &facts, const soak_bounds &bounds, int daemon, instant at)
+bool isUndisturbed(const soak_facts &facts, const soak_bounds &bounds, int daemon, instant at)
 {
     return std::none_of(facts.disturbances.begin(), facts.disturbances.end(), [&](const disturbance &fault) {
-        return fault.kind != disturbance_kind::replicas && strikes(fault, daemon) && overlaps(fault, at - bounds.contact, at);
+        return fault.kind != disturbance_kind::replicas && mayAffect(fault, daemon) && overlaps(fault, at - bounds.settlingTime, at);
     });
 }
 
--- a/Tests/Soak/loopback_proxy.cpp
+++ b/Tests/Soak/loopback_proxy.cpp
@@ -22,20 +22,21 @@
 using Poco::Net::SocketAddress;
 using Poco::Net::StreamSocket;
 
-/// How soon a connection takes notice of a fault.
+/// How often an idle connection checks for a fault.
 constexpr duration pollPeriod(20);
 constexpr duration connectTimeout(1000);
-/// More than the daemons' limits on one step of an order (400 ms) leave room for twice.
+/// Two delays together exceed the daemons' limit of 400 ms on one step of an order.
 constexpr duration delayTime(250);
 constexpr duration dripPeriod(10);
 constexpr int dripBytes = 16;
 constexpr std::size_t bufferBytes = 16384;
 
-SocketAddress addressOf(const endpoint &place)
+SocketAddress socketAddress(const endpoint &place)
 {
     return {place.host, place.port};
 }
 
+/// Closes the connection with a TCP reset.
 void resetConnection(StreamSocket &socket)
 {
     socket.setLinger(true, 0);
@@ -50,14 +51,14 @@
     std::mutex mutex;
     endpoint server;
     std::atomic<link_fault> fault = link_fault::none;
-    /// Counts the silences: a connection from before the newest one is silent.
+    /// The number of silence faults so far. A connection older than the newest one forwards nothing.
     std::atomic<int> silences = 0;
     std::atomic<bool> isStopping = false;
-    std::atomic<int> open = 0;
+    std::atomic<int> openConnections = 0;
     std::thread acceptor;
 
     explicit private_data(const endpoint &listen, const endpoint &to)
-        : listener(addressOf(listen))
+        : listener(socketAddress(listen))
         , server(to)
     {
     }
@@ -74,11 +75,11 @@
             if (!listener.poll(timespanOf(pollPeriod), Socket::SELECT_READ)) {
                 continue;
             }
-            ++open;
-            // The destructor waits until none is open.
+            ++openConnections;
+            // The destructor waits until all connections are closed.
             std::thread([this, client = listener.acceptConnection()]() mutable {
                 relay(client);
-                --open;
+                --openConnections;
             }).detach();
         }
     }
@@ -87,33 +88,34 @@
     {
         StreamSocket upstream;
         try {
-            upstream.connect(addressOf(currentServer()), timespanOf(connectTimeout));
+            upstream.connect(socketAddress(currentServer()), timespanOf(connectTimeout));
             client.setNoDelay(true);
             upstream.setNoDelay(true);
-            passOn(client, upstream);
+            forwardBytes(client, upstream);
         } catch (const Poco::Exception &) {
-            // Whichever side broke: the other one sees a reset, as on a connection without a proxy.
+            // When either side breaks, the other one sees a reset, as on a connection without a proxy.
             resetConnection(client);
             resetConnection(upstream);
         }
     }
 
-    void passOn(StreamSocket &client, StreamSocket &upstream)
+    /// Forwards bytes both ways until a side closes, the proxy stops or a fault resets the connection.
+    void forwardBytes(StreamSocket &client, StreamSocket &upstream)
     {
-        const int silencesAtBegin = silences;
+        const int silencesAtStart = silences;
         bool isClientOpen = true;
         bool isServerOpen = true;
         while (isClientOpen && isServerOpen && !isStopping) {
-            const auto now = fault.load();
-            if (now == link_fault::reset) {
+            const auto currentFault = fault.load();
+            if (currentFault == link_fault::reset) {
                 throw Poco::Net::ConnectionResetException();
             }
-            if (silencesAtBegin != silences) {
+            if (silencesAtStart != silences) {
                 std::this_thread::sleep_for(pollPeriod);
                 continue;
             }
             Socket::SocketList readable = {client};
-            if (now != link_fault::cut_answers) {
+            if (currentFault != link_fault::cut_answers) {
                 readable.push_back(upstream);
             }
             Socket::SocketList none;
@@ -122,22 +124,22 @@
             for (const auto &socket : readable) {
                 const bool isFromClient = socket == client;
                 auto &isOpen = isFromClient ? isClientOpen : isServerOpen;
-                isOpen = passPiece(isFromClient ? client : upstream, isFromClient ? upstream : client, now);
+                isOpen = forwardChunk(isFromClient ? client : upstream, isFromClient ? upstream : client, currentFault);
             }
         }
         client.close();
         upstream.close();
     }
 
-    /// False at the end of the stream.
-    bool passPiece(StreamSocket &from, StreamSocket &to, link_fault now)
+    /// Forwards the next bytes from one socket to the other, subject to \a currentFault. Returns false at the end of the stream.
+    bool forwardChunk(StreamSocket &from, StreamSocket &to, link_fault currentFault)
     {
         std::array<char, bufferBytes> buffer{};
-        const int most = now == link_fault::drip ? dripBytes : static_cast<int>(buffer.size());
-        const int count = from.receiveBytes(buffer.data(), most);
-        if (count > 0 && now == link_fault::delay) {
+        const int maxBytes = currentFault == link_fault::drip ? dripBytes : static_cast<int>(buffer.size());
+        const int count = from.receiveBytes(buffer.data(), maxBytes);
+        if (count > 0 && currentFault == link_fault::delay) {
             std::this_thread::sleep_for(delayTime);
-        } else if (count > 0 && now == link_fault::drip) {
+        } else if (count > 0 && currentFault == link_fault::drip) {
             std::this_thread::sleep_for(dripPeriod);
         }
         for (int sent = 0; sent < count;) {
@@ -157,7 +159,7 @@
 {
     d->isStopping = true;
     d->acceptor.join();
-    while (d->open > 0) {
+    while (d->openConnections > 0) {
         std::this_thread::sleep_for(pollPeriod);
     }
 }
--- a/Tests/Soak/loopback_proxy.h
+++ b/Tests/Soak/loopback_proxy.h
@@ -7,22 +7,22 @@
 
 namespace vetchpost::test {
 
-/// What a proxy does to the connections through it.
+/// The fault that a proxy applies to its connections.
 enum class link_fault {
     none,
-    /// Bytes come late.
+    /// Bytes are forwarded late.
     delay,
-    /// Open connections are reset, and so are new ones.
+    /// Open and new connections are reset.
     reset,
-    /// Nothing comes back from the server; what the client sends arrives.
+    /// Bytes from the server are held back; bytes from the client are forwarded.
     cut_answers,
-    /// Connections that are open at its begin fall silent for good, both ways; new ones work.
+    /// Connections that are open when the fault begins forward nothing any more, in either direction; new connections work.
     silence,
-    /// A few bytes at a time.
+    /// Bytes are forwarded a few at a time.
     drip
 };
 
-/// A TCP proxy on loopback whose connections can be disturbed. A thread for each connection.
+/// A TCP proxy on loopback that can disturb its connections. It uses one thread per connection.
 class loopback_proxy
 {
 public:
@@ -31,8 +31,9 @@
     loopback_proxy(const loopback_proxy &) = delete;
     loopback_proxy &operator=(const loopback_proxy &) = delete;
 
+    /// Applies the fault to all connections, in place of the one before.
     void setFault(link_fault fault);
-    /// New connections go there from now on.
+    /// Directs new connections to \a server; open ones stay as they are.
     void setServer(const endpoint &server);
 
 private:
--- a/Tests/Soak/notice_checks.cpp
+++ b/Tests/Soak/notice_checks.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The checks of what replicas said of themselves: limits, rests and departures.
+// Checks of the notices in replicas' answers: rate limits, backoffs and that a replica leaves.
 #include "Tests/Soak/fact_queries.h"
 
 #include <fmt/format.h>
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// One request that reached a replica, and who had sent it.
-struct sent_arrival
+/// A request's arrival at a replica, with the daemon that sent it.
+struct replica_arrival
 {
     instant at;
     instant clientSentAt;
@@ -22,19 +22,20 @@
     request_id attempt;
 };
 
-/// From one event on until the next that ends what it began.
-struct event_span
+/// The time during which a replica had a rate limit, and the limit in requests per second.
+struct limit_span
 {
     instant from;
     instant until;
     double value = 0;
 };
 
-using daemon_of_attempt = std::map<request_id, const attempt_fact *>;
+using attempts_by_id = std::map<request_id, const attempt_fact *>;
 
-std::map<instance_id, std::vector<sent_arrival>> arrivalsByReplica(const soak_facts &facts, const daemon_of_attempt &attempts)
+/// Returns the arrivals of clients' requests for each replica, in the order of the recorded facts.
+std::map<instance_id, std::vector<replica_arrival>> arrivalsByReplica(const soak_facts &facts, const attempts_by_id &attempts)
 {
-    std::map<instance_id, std::vector<sent_arrival>> result;
+    std::map<instance_id, std::vector<replica_arrival>> result;
     for (const auto &event : facts.events) {
         const auto attempt = attempts.find(event.attempt);
         if (event.what == "arrived" && attempt != attempts.end()) {
@@ -44,15 +45,16 @@
     return result;
 }
 
-/// A replica that starts again, also under its id, knows nothing of before.
+/// Returns whether the event ends the state of the replica's process. A restarted replica has none of it, even under the same id.
 bool endsIncarnation(const platform_event &event)
 {
     return event.what == "started" || event.what == "gone";
 }
 
-std::map<instance_id, std::vector<event_span>> limitSpans(const soak_facts &facts)
+/// Returns for each replica the times during which it had a rate limit.
+std::map<instance_id, std::vector<limit_span>> limitSpans(const soak_facts &facts)
 {
-    std::map<instance_id, std::vector<event_span>> result;
+    std::map<instance_id, std::vector<limit_span>> result;
     for (const auto &event : facts.events) {
         const bool begins = event.what == "limit_begins";
         auto &spans = result[event.replica];
@@ -66,41 +68,41 @@
     return result;
 }
 
-/// When the life ended in which a replica said something.
-instant endOfIncarnation(const soak_facts &facts, const platform_event &said)
+/// Returns when the process that sent the notice ended, or the end of the run if it did not.
+instant endOfIncarnation(const soak_facts &facts, const platform_event &notice)
 {
     auto end = facts.endedAt;
     for (const auto &event : facts.events) {
-        if (event.replica == said.replica && endsIncarnation(event) && event.at > said.at) {
+        if (event.replica == notice.replica && endsIncarnation(event) && event.at > notice.at) {
             end = std::min(end, event.at);
         }
     }
     return end;
 }
 
-/// Whether a restart, a freeze or a planned stop since then excuses the daemon.
+/// Returns whether a restart, a freeze or a planned stop of the daemon in [since, until] excuses it: it may have lost the notice.
 bool isExcused(const soak_facts &facts, int daemon, instant since, instant until)
 {
     return std::any_of(facts.disturbances.begin(), facts.disturbances.end(), [&](const disturbance &fault) {
-        const bool isOfProcess
+        const bool affectsProcess
             = fault.kind == disturbance_kind::process || fault.kind == disturbance_kind::absence || fault.kind == disturbance_kind::planned;
-        return isOfProcess && strikes(fault, daemon) && overlaps(fault, since, until);
+        return affectsProcess && mayAffect(fault, daemon) && overlaps(fault, since, until);
     });
 }
 
-/// When each daemon first had an answer of the replica that told the limit, within a span.
+/// Returns for each daemon when it first received an answer with the replica's rate limit within the span.
 std::map<int, instant>
-toldInSpan(const soak_facts &facts, const instance_id &replica, const event_span &span, const daemon_of_attempt &attempts)
+firstLimitReports(const soak_facts &facts, const instance_id &replica, const limit_span &span, const attempts_by_id &attempts)
 {
-    std::map<int, instant> told;
+    std::map<int, instant> reportedAt;
     for (const auto &event : facts.events) {
         const auto attempt = attempts.find(event.attempt);
-        const bool tells = event.what == "told_limit" && event.replica == replica && event.at >= span.from && event.at < span.until;
-        if (tells && attempt != attempts.end()) {
-            told.try_emplace(attempt->second->daemon, event.at);
+        const bool reportsLimit = event.what == "told_limit" && event.replica == replica && event.at >= span.from && event.at < span.until;
+        if (reportsLimit && attempt != attempts.end()) {
+            reportedAt.try_emplace(attempt->second->daemon, event.at);
         }
     }
-    return told;
+    return reportedAt;
 }
 
 } // namespace
@@ -112,22 +114,23 @@
     const auto arrivals = arrivalsByReplica(facts, attempts);
     for (const auto &[replica, spans] : limitSpans(facts)) {
         for (const auto &span : spans) {
-            const auto told = toldInSpan(facts, replica, span, attempts);
-            std::vector<sent_arrival> counted;
-            for (const auto &arrival : arrivals.contains(replica) ? arrivals.at(replica) : std::vector<sent_arrival>()) {
-                const auto known = told.find(arrival.daemon);
-                const bool isCounted = known != told.end() && arrival.at >= known->second + bounds.told && arrival.at < span.until;
-                if (isCounted && !isExcused(facts, arrival.daemon, known->second, arrival.at)) {
+            const auto reportedAt = firstLimitReports(facts, replica, span, attempts);
+            std::vector<replica_arrival> counted;
+            for (const auto &arrival : arrivals.contains(replica) ? arrivals.at(replica) : std::vector<replica_arrival>()) {
+                const auto report = reportedAt.find(arrival.daemon);
+                const bool isCounted
+                    = report != reportedAt.end() && arrival.at >= report->second + bounds.noticeDelay && arrival.at < span.until;
+                if (isCounted && !isExcused(facts, arrival.daemon, report->second, arrival.at)) {
                     counted.push_back(arrival);
                 }
             }
             const auto windowSeconds = secondsOf(bounds.limitWindow);
             const auto allowed = span.value * windowSeconds * bounds.limitFactor + bounds.limitSlack;
             for (const auto &last : counted) {
-                const auto count = std::count_if(counted.begin(), counted.end(), [&](const sent_arrival &next) {
+                const auto count = std::count_if(counted.begin(), counted.end(), [&](const replica_arrival &next) {
                     return next.at <= last.at && last.at - next.at < bounds.limitWindow;
                 });
-                if (last.at >= span.from + bounds.contact && static_cast<double>(count) > allowed) {
+                if (last.at >= span.from + bounds.settlingTime && static_cast<double>(count) > allowed) {
                     broken.push_back({"all daemons together keep to a replica's limit",
                                       fmt::format("{} named {} a second and got {} in a window", replica.value(), span.value, count),
                                       last.attempt});
@@ -139,7 +142,7 @@
     return broken;
 }
 
-broken_promises checkRests(const soak_facts &facts, const soak_bounds &bounds)
+broken_promises checkBackoffs(const soak_facts &facts, const soak_bounds &bounds)
 {
     broken_promises broken;
     const auto attempts = attemptsById(facts);
@@ -150,13 +153,13 @@
             continue;
         }
         const auto daemon = attempt->second->daemon;
-        const auto rest = duration(static_cast<std::int64_t>(event.value * 1000));
-        const auto until = std::min(event.at + rest, endOfIncarnation(facts, event));
+        const auto backoff = duration(static_cast<std::int64_t>(event.value * 1000));
+        const auto until = std::min(event.at + backoff, endOfIncarnation(facts, event));
         const auto &all = arrivals.at(event.replica);
-        const auto count = std::count_if(all.begin(), all.end(), [&](const sent_arrival &arrival) {
-            return arrival.daemon == daemon && arrival.at > event.at + bounds.told && arrival.at < until;
+        const auto count = std::count_if(all.begin(), all.end(), [&](const replica_arrival &arrival) {
+            return arrival.daemon == daemon && arrival.at > event.at + bounds.noticeDelay && arrival.at < until;
         });
-        if (count > bounds.restSends && !isExcused(facts, daemon, event.at, until)) {
+        if (count > bounds.backoffSends && !isExcused(facts, daemon, event.at, until)) {
             broken.push_back(
                 {"a replica that asked for rest gets it",
                  fmt::format("{} asked daemon {} for {} s and got {} requests", event.replica.value(), daemon, event.value, count),
@@ -166,12 +169,12 @@
     return broken;
 }
 
-broken_promises checkToldLeaving(const soak_facts &facts, const soak_bounds &bounds)
+broken_promises checkLeaveNotices(const soak_facts &facts, const soak_bounds &bounds)
 {
     broken_promises broken;
     const auto attempts = attemptsById(facts);
     const auto arrivals = arrivalsByReplica(facts, attempts);
-    std::set<std::tuple<instance_id, int, instant>> seen;
+    std::set<std::tuple<instance_id, int, instant>> checked;
     for (const auto &event : facts.events) {
         const auto attempt = attempts.find(event.attempt);
         if (event.what != "told_leaving" || attempt == attempts.end() || !arrivals.contains(event.replica)) {
@@ -179,7 +182,7 @@
         }
         const auto daemon = attempt->second->daemon;
         const auto until = endOfIncarnation(facts, event);
-        if (!seen.emplace(event.replica, daemon, until).second) {
+        if (!checked.emplace(event.replica, daemon, until).second) {
             continue;
         }
         for (const auto &arrival : arrivals.at(event.replica)) {
--- a/Tests/Soak/soak.cpp
+++ b/Tests/Soak/soak.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The fault soak: real daemons, faults from outside, promises checked from what clients and replicas see. Never installed.
+// The fault soak: runs real daemons, injects faults from outside and checks the daemons' promises by what clients and replicas record. It
+// is never installed.
 #include "Tests/Soak/soak_checks.h"
 #include "Tests/Soak/soak_run.h"
 
@@ -24,24 +25,24 @@
   soak [options] --keep=<folder> --daemon-binary=<file> --stand-ins=<folder>
 
 Options:
-  --seed=<n>              Gives the whole schedule [default: 1].
-  --seconds=<n>           How long traffic runs; the last 14 are without faults [default: 45].
+  --seed=<n>              Determines the whole schedule [default: 1].
+  --seconds=<n>           Duration of the traffic; the last 14 seconds are without faults [default: 45].
   --daemons=<n>           Entry daemons [default: 4].
   --replicas=<n>          Replicas with an engine, in two fabric domains [default: 12].
   --clients=<n>           Clients at a time [default: 20].
-  --deadly=<n>            Requests that end each replica which runs them and come again and again [default: 0].
-  --notices=<n>           Times that a replica names a limit, asks for rest or says that it leaves [default: 0].
-  --keep=<folder>         For settings and logs.
+  --deadly=<n>            Requests that end each replica that runs them and are sent repeatedly [default: 0].
+  --notices=<n>           Times that a replica reports a rate limit, asks for a backoff or announces that it leaves [default: 0].
+  --keep=<folder>         Folder for settings and logs.
   --daemon-binary=<file>  vetchpostd.
-  --stand-ins=<folder>    Where the programs of the stand-ins are.
-  --explain=<file>        vetchpost, which tells the story of a request.
-  --base-port=<n>         The first of some hundred ports [default: 31000].
+  --stand-ins=<folder>    Folder with the programs of the stand-ins.
+  --explain=<file>        vetchpost, which prints the timeline of a request.
+  --base-port=<n>         The first of several hundred ports [default: 31000].
 )";
 
-/// Of so many broken promises the request's story is printed.
-constexpr std::size_t mostStories = 5;
+/// The request's timeline is printed for at most this many broken promises.
+constexpr std::size_t maxTimelines = 5;
 
-std::ptrdiff_t countOf(const soak_facts &facts, attempt_end end)
+std::ptrdiff_t countAttempts(const soak_facts &facts, attempt_end end)
 {
     return std::count_if(facts.attempts.begin(), facts.attempts.end(), [&](const attempt_fact &attempt) { return attempt.end == end; });
 }
@@ -53,20 +54,20 @@
     fmt::print("offered {}, ran {}, answered {}, refused {}, failed {}, broken off {}, not sent {}, left {}, broken promises {}\n",
                facts.attempts.size(),
                ran,
-               countOf(facts, attempt_end::answered),
-               countOf(facts, attempt_end::refused),
-               countOf(facts, attempt_end::failed),
-               countOf(facts, attempt_end::broken),
-               countOf(facts, attempt_end::not_sent),
-               countOf(facts, attempt_end::left),
+               countAttempts(facts, attempt_end::answered),
+               countAttempts(facts, attempt_end::refused),
+               countAttempts(facts, attempt_end::failed),
+               countAttempts(facts, attempt_end::broken),
+               countAttempts(facts, attempt_end::not_sent),
+               countAttempts(facts, attempt_end::abandoned),
                broken.size());
-    resource_sample most;
+    resource_sample peak;
     for (const auto &sample : facts.samples) {
-        most.memoryKilobytes = std::max(most.memoryKilobytes, sample.memoryKilobytes);
-        most.threads = std::max(most.threads, sample.threads);
-        most.descriptors = std::max(most.descriptors, sample.descriptors);
+        peak.memoryKilobytes = std::max(peak.memoryKilobytes, sample.memoryKilobytes);
+        peak.threads = std::max(peak.threads, sample.threads);
+        peak.descriptors = std::max(peak.descriptors, sample.descriptors);
     }
-    fmt::print("most of a daemon: {} kB, {} threads, {} descriptors\n", most.memoryKilobytes, most.threads, most.descriptors);
+    fmt::print("most of a daemon: {} kB, {} threads, {} descriptors\n", peak.memoryKilobytes, peak.threads, peak.descriptors);
     std::map<int, int> statuses;
     for (const auto &attempt : facts.attempts) {
         statuses[attempt.status] += attempt.end == attempt_end::failed || attempt.end == attempt_end::refused ? 1 : 0;
@@ -76,7 +77,8 @@
     }
 }
 
-void printStory(const soak_facts &facts, const request_id &id, const std::string &explain, const std::string &folder)
+/// Prints a request's attempt and events, and its timeline by vetchpost explain if \a explain is its path.
+void printTimeline(const soak_facts &facts, const request_id &id, const std::string &explain, const std::string &folder)
 {
     for (const auto &attempt : facts.attempts) {
         if (attempt.id == id) {
@@ -98,7 +100,7 @@
     }
 }
 
-/// Keeps what the replicas saw beside the daemons' logs.
+/// Writes the events that the replicas recorded into a file beside the daemons' logs.
 void writeEvents(const soak_facts &facts, const std::string &folder)
 {
     std::ofstream out(folder + "/events.txt");
@@ -109,11 +111,11 @@
 
 void printBroken(const soak_facts &facts, const broken_promises &broken, const std::string &explain, const std::string &folder)
 {
-    std::size_t stories = 0;
+    std::size_t timelines = 0;
     for (const auto &promise : broken) {
         fmt::print("BROKEN: {}: {} {}\n", promise.promise, promise.details, promise.attempt.value());
-        if (!promise.attempt.isEmpty() && ++stories <= mostStories) {
-            printStory(facts, promise.attempt, explain, folder);
+        if (!promise.attempt.isEmpty() && ++timelines <= maxTimelines) {
+            printTimeline(facts, promise.attempt, explain, folder);
         }
     }
 }
--- a/Tests/Soak/soak_checks.cpp
+++ b/Tests/Soak/soak_checks.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The checks of single requests and of groups.
+// Checks of single requests and of groups.
 #include "Tests/Soak/fact_queries.h"
 
 #include <fmt/format.h>
@@ -12,17 +12,17 @@
 
 constexpr int unauthorised = 401;
 
-/// Whether something other than a planned stop may have cost the attempt its answer.
+/// Returns whether a disturbance other than a planned stop may have caused the loss of the attempt's answer.
 bool mayLoseAnswer(const soak_facts &facts, const soak_bounds &bounds, const attempt_fact &attempt)
 {
     return std::any_of(facts.disturbances.begin(), facts.disturbances.end(), [&](const disturbance &fault) {
         switch (fault.kind) {
         case disturbance_kind::process:
         case disturbance_kind::callers:
-            return strikes(fault, attempt.daemon) && overlaps(fault, attempt.sentAt - bounds.contact, attempt.endedAt);
+            return mayAffect(fault, attempt.daemon) && overlaps(fault, attempt.sentAt - bounds.settlingTime, attempt.endedAt);
         case disturbance_kind::absence:
-            // What had been sent before the process ended had to be answered.
-            return strikes(fault, attempt.daemon) && fault.from <= attempt.sentAt && attempt.sentAt <= fault.until;
+            // A request that was sent before the process ended had to be answered.
+            return mayAffect(fault, attempt.daemon) && fault.from <= attempt.sentAt && attempt.sentAt <= fault.until;
         case disturbance_kind::replicas:
             return overlaps(fault, attempt.sentAt, attempt.endedAt);
         case disturbance_kind::planned:
@@ -33,7 +33,7 @@
     });
 }
 
-/// Whether a configuration takes or has taken the attempt's key away; a 401 is then the right answer.
+/// Returns whether any configuration of the run withdraws the attempt's key; a 401 is then an allowed answer.
 bool isKeyWithdrawn(const soak_facts &facts, const attempt_fact &attempt)
 {
     return std::any_of(facts.configurations.begin(), facts.configurations.end(), [&](const accepted_configuration &configuration) {
@@ -41,6 +41,7 @@
     });
 }
 
+/// Returns whether the status asserts that the request has not run.
 bool isNotRunStatus(int status)
 {
     constexpr int requestTimeout = 408;
@@ -50,11 +51,12 @@
     return status == requestTimeout || status == misdirected || status == tooManyRequests || status == unavailable;
 }
 
-/// A request that was on its way when the daemon closed an idle connection has been read by nobody; the client sends it again.
+/// Returns whether the request may have been in transit when the daemon closed the idle connection. Nobody has read such a request, and the
+/// client sends it again.
 bool hasCrossedClose(const attempt_fact &attempt, const events_by_attempt &arrivals, const soak_bounds &bounds)
 {
     return attempt.end == attempt_end::broken && attempt.status == 0 && !arrivals.contains(attempt.id)
-        && attempt.endedAt - attempt.sentAt <= bounds.crossing;
+        && attempt.endedAt - attempt.sentAt <= bounds.closeRace;
 }
 
 } // namespace
@@ -62,7 +64,7 @@
 broken_promises checkAnswers(const soak_facts &facts, const soak_bounds &bounds)
 {
     broken_promises broken;
-    const auto arrivals = eventsOf(facts, "arrived");
+    const auto arrivals = eventsByAttempt(facts, "arrived");
     for (const auto &attempt : facts.attempts) {
         if (!attempt.flaw.empty()) {
             broken.push_back({"an answer is its own and complete", attempt.flaw, attempt.id});
@@ -86,7 +88,7 @@
 broken_promises checkRefusals(const soak_facts &facts)
 {
     broken_promises broken;
-    const auto runs = eventsOf(facts, "ran");
+    const auto runs = eventsByAttempt(facts, "ran");
     for (const auto &attempt : facts.attempts) {
         if (attempt.end == attempt_end::refused && isNotRunStatus(attempt.status) && runs.contains(attempt.id)) {
             broken.push_back({"what was said not to have run has not run", fmt::format("status {}", attempt.status), attempt.id});
@@ -99,7 +101,7 @@
 {
     broken_promises broken;
     const auto attempts = attemptsById(facts);
-    for (const auto &[id, runs] : eventsOf(facts, "ran")) {
+    for (const auto &[id, runs] : eventsByAttempt(facts, "ran")) {
         const auto attempt = attempts.find(id);
         if (attempt == attempts.end()) {
             broken.push_back({"only what a client sent runs", "no client sent it", id});
@@ -110,35 +112,36 @@
     return broken;
 }
 
-broken_promises checkLeaving(const soak_facts &facts, const soak_bounds &bounds)
+broken_promises checkDrainingReplicas(const soak_facts &facts, const soak_bounds &bounds)
 {
     broken_promises broken;
-    // A replica may start again under the id that it had: what it told before is over, from then on.
-    std::map<instance_id, std::map<instant, bool>> leaves;
+    // A replica may restart under the same id, which cancels its earlier announcement.
+    std::map<instance_id, std::map<instant, bool>> leavingStates;
     for (const auto &event : facts.events) {
         if (event.what == "draining" || event.what == "gone" || event.what == "started") {
-            leaves[event.replica].emplace(event.at, event.what != "started");
+            leavingStates[event.replica].emplace(event.at, event.what != "started");
         }
     }
-    const auto toldBefore = [&](const platform_event &arrival) -> std::optional<instant> {
-        std::optional<instant> told;
-        for (const auto &[when, isLeaving] : leaves[arrival.replica]) {
+    const auto leaveAnnouncedAt = [&](const platform_event &arrival) -> std::optional<instant> {
+        std::optional<instant> announcedAt;
+        for (const auto &[when, isLeaving] : leavingStates[arrival.replica]) {
             if (when <= arrival.at) {
-                told = isLeaving ? std::optional(told.value_or(when)) : std::nullopt;
+                announcedAt = isLeaving ? std::optional(announcedAt.value_or(when)) : std::nullopt;
             }
         }
-        return told;
+        return announcedAt;
     };
     const auto attempts = attemptsById(facts);
-    for (const auto &[id, arrivals] : eventsOf(facts, "arrived")) {
+    for (const auto &[id, arrivals] : eventsByAttempt(facts, "arrived")) {
         const auto attempt = attempts.find(id);
         for (const auto *arrival : arrivals) {
-            const auto told = toldBefore(*arrival);
-            const bool isLate = told && arrival->at > *told + bounds.drain;
-            if (isLate && attempt != attempts.end() && isInTouch(facts, bounds, attempt->second->daemon, arrival->at)) {
-                broken.push_back({"nothing new reaches a replica that left",
-                                  fmt::format("{} had told it {} ms before", arrival->replica.value(), (arrival->at - *told).count()),
-                                  id});
+            const auto announcedAt = leaveAnnouncedAt(*arrival);
+            const bool isLate = announcedAt && arrival->at > *announcedAt + bounds.drain;
+            if (isLate && attempt != attempts.end() && isUndisturbed(facts, bounds, attempt->second->daemon, arrival->at)) {
+                broken.push_back(
+                    {"nothing new reaches a replica that left",
+                     fmt::format("{} had told it {} ms before", arrival->replica.value(), (arrival->at - *announcedAt).count()),
+                     id});
             }
         }
     }
@@ -158,14 +161,14 @@
     return broken;
 }
 
-broken_promises checkReleases(const soak_facts &facts, const soak_bounds &bounds)
+broken_promises checkAbandonedRequests(const soak_facts &facts, const soak_bounds &bounds)
 {
     broken_promises broken;
-    const auto ends = eventsOf(facts, "ended");
-    const auto runs = eventsOf(facts, "ran");
+    const auto ends = eventsByAttempt(facts, "ended");
+    const auto runs = eventsByAttempt(facts, "ran");
     for (const auto &attempt : facts.attempts) {
         const auto ran = runs.find(attempt.id);
-        if (attempt.end != attempt_end::left || ran == runs.end()) {
+        if (attempt.end != attempt_end::abandoned || ran == runs.end()) {
             continue;
         }
         const auto latest = attempt.endedAt + bounds.release + bounds.releaseMargin;
@@ -174,7 +177,7 @@
             ? 0
             : std::count_if(ended->second.begin(), ended->second.end(), [&](const auto *event) { return event->at <= latest; });
         const bool isLate = endsInTime < static_cast<std::ptrdiff_t>(ran->second.size()) && latest < facts.endedAt;
-        if (isLate && isInTouch(facts, bounds, attempt.daemon, latest) && !areReplicasDisturbed(facts, attempt.sentAt, latest)) {
+        if (isLate && isUndisturbed(facts, bounds, attempt.daemon, latest) && !areReplicasDisturbed(facts, attempt.sentAt, latest)) {
             broken.push_back({"a client that left frees its replica", "it was still at work there", attempt.id});
         }
     }
@@ -188,17 +191,17 @@
     add(checkAnswers(facts, bounds));
     add(checkRefusals(facts));
     add(checkSingleRuns(facts));
-    add(checkLeaving(facts, bounds));
+    add(checkDrainingReplicas(facts, bounds));
     add(checkGroups(facts));
-    add(checkRepeats(facts, bounds));
+    add(checkRetries(facts, bounds));
     add(checkDeadlyRequests(facts, bounds));
     add(checkLimits(facts, bounds));
-    add(checkRests(facts, bounds));
-    add(checkToldLeaving(facts, bounds));
+    add(checkBackoffs(facts, bounds));
+    add(checkLeaveNotices(facts, bounds));
     add(checkWithdrawnKeys(facts, bounds));
     add(checkConfigurations(facts, bounds));
     add(checkStops(facts, bounds));
-    add(checkReleases(facts, bounds));
+    add(checkAbandonedRequests(facts, bounds));
     add(checkRecovery(facts, bounds));
     add(checkResources(facts, bounds));
     return all;
--- a/Tests/Soak/soak_client.cpp
+++ b/Tests/Soak/soak_client.cpp
@@ -19,33 +19,35 @@
 
 namespace names = platform_names;
 
-constexpr duration patience(6000);
-/// A daemon may give a request up so long before its time is over: less is too short for an answer.
+/// A client's deadline for a request with all its retries.
+constexpr duration clientTimeout(6000);
+/// A daemon may give up a request this long before its deadline, as the time left is too short for an answer.
 constexpr duration deadlineMargin(50);
-/// A stream whose next event does not come is given up.
-constexpr duration longestSilence(3000);
-constexpr duration shortestThought(5);
-/// Between two sendings of a request that ends replicas.
+/// A client gives up an answer that brings no byte for this long.
+constexpr duration maxSilence(3000);
+constexpr duration minThinkTime(5);
+/// The pause between two sends of a deadly request.
 constexpr duration deadlyPause(400);
-constexpr int longestThoughtMs = 60;
-constexpr int mostTries = 3;
-/// Of 100 requests: the rest are probes.
-constexpr int streams = 45;
-constexpr int idempotents = 30;
-constexpr int nonIdempotents = 18;
-/// One in so many streams is left after its first event, one in so many requests is sent with a key that changes, and on an open connection
-/// one in so many gives the connection up.
-constexpr int leavesOneIn = 20;
+constexpr int thinkTimeSpreadMs = 60;
+constexpr int maxAttempts = 3;
+/// The mix of request kinds in percent; the remainder are probes.
+constexpr int streamPercent = 45;
+constexpr int idempotentPercent = 30;
+constexpr int nonIdempotentPercent = 18;
+/// One in this many streams is abandoned after its first event, one in this many requests uses a changing key, and one in this many
+/// requests opens a new connection although there is an open one.
+constexpr int abandonOneIn = 20;
 constexpr int changingKeyOneIn = 8;
 constexpr int newConnectionOneIn = 8;
 constexpr int notRunTooMany = 429;
 constexpr int notRunUnavailable = 503;
 constexpr int notRunTimeout = 408;
 
-/// Of the parts of an id only the last is a number.
+/// The length of an attempt id's part before the attempt's number.
 constexpr std::size_t idPrefixLength = 5;
 
-struct wanted_request
+/// A request that a client is to complete, with its progress over all attempts.
+struct client_request
 {
     request_kind kind = request_kind::idempotent;
     std::string path;
@@ -54,49 +56,51 @@
     std::uint64_t version = 0;
     const char *model = "m0";
     std::string body = "work";
-    /// The last event that the client has, when it goes on with a stream.
+    /// The number of the last event received, from which a retry resumes the stream.
     int lastEvent = 0;
-    /// The number of the stream's last event; 0 while that is not known.
-    int events = 0;
-    bool leavesEarly = false;
+    /// The number of the stream's final event; 0 while it is unknown.
+    int finalEvent = 0;
+    bool abandonsEarly = false;
     instant deadline;
 };
 
-std::string requestText(const wanted_request &wanted, const request_id &id)
+/// Returns the HTTP request for one attempt.
+std::string requestText(const client_request &request, const request_id &id)
 {
-    const auto left = std::max<std::int64_t>(1, (wanted.deadline - monotonicNow()).count());
+    const auto remaining = std::max<std::int64_t>(1, (request.deadline - monotonicNow()).count());
     auto text = fmt::format("POST {}work HTTP/1.1\r\nHost: {}\r\n{}: {}\r\n{}: {}\r\n{}: {}{}\r\nContent-Length: {}\r\n",
-                            wanted.path,
+                            request.path,
                             soakHost,
                             names::attemptId,
                             id.value(),
                             names::deadline,
-                            left,
+                            remaining,
                             names::authorization,
                             names::bearerPrefix,
-                            wanted.key,
-                            wanted.body.size());
-    if (wanted.kind == request_kind::stream) {
+                            request.key,
+                            request.body.size());
+    if (request.kind == request_kind::stream) {
         text += fmt::format(
-            "{}: {}\r\nToken-Counts: 400,80\r\nPrompt-Prefix: {}:400\r\n", names::model, wanted.model, id.value().substr(idPrefixLength));
+            "{}: {}\r\nToken-Counts: 400,80\r\nPrompt-Prefix: {}:400\r\n", names::model, request.model, id.value().substr(idPrefixLength));
     }
-    if (wanted.lastEvent > 0) {
-        text += fmt::format("{}: {}\r\n", names::lastEventId, wanted.lastEvent);
+    if (request.lastEvent > 0) {
+        text += fmt::format("{}: {}\r\n", names::lastEventId, request.lastEvent);
     }
-    return text + "\r\n" + wanted.body;
+    return text + "\r\n" + request.body;
 }
 
-/// How far a stream has come, and what is wrong with it.
-struct stream_reading
+/// How far a stream has progressed, and the flaw found in it.
+struct stream_progress
 {
     int lastEvent = 0;
-    int of = 0;
+    int finalEvent = 0;
     std::string flaw;
 };
 
-stream_reading readStream(const std::string &body, const wanted_request &wanted, const request_id &id)
+/// Parses the events of a stream's body, continuing from the progress in \a request.
+stream_progress parseStream(const std::string &body, const client_request &request, const request_id &id)
 {
-    stream_reading reading{wanted.lastEvent, wanted.events, {}};
+    stream_progress progress{request.lastEvent, request.finalEvent, {}};
     std::istringstream in(body);
     constexpr std::string_view dataPrefix = "data: ";
     for (std::string line; std::getline(in, line) && !in.eof();) {
@@ -105,19 +109,19 @@
             continue;
         }
         const auto number = static_cast<int>(jsonNumber(*data, "event"));
-        if (number != reading.lastEvent + 1) {
-            reading.flaw = fmt::format("event {} follows {}", number, reading.lastEvent);
+        if (number != progress.lastEvent + 1) {
+            progress.flaw = fmt::format("event {} follows {}", number, progress.lastEvent);
         } else if (jsonString(*data, "attempt") != id.value()) {
-            reading.flaw = "an event of " + jsonString(*data, "attempt");
+            progress.flaw = "an event of " + jsonString(*data, "attempt");
         }
-        reading.lastEvent = number;
-        reading.of = static_cast<int>(jsonNumber(*data, "of"));
+        progress.lastEvent = number;
+        progress.finalEvent = static_cast<int>(jsonNumber(*data, "of"));
     }
-    return reading;
+    return progress;
 }
 
-/// What is wrong with a whole answer; empty where nothing is.
-std::string flawOf(const client_answer &answer, const wanted_request &wanted, const request_id &id)
+/// Returns a description of what is wrong with the answer's content; empty if nothing is.
+std::string findFlaw(const client_answer &answer, const client_request &request, const request_id &id)
 {
     constexpr int success = 200;
     if (answer.hasSurplus) {
@@ -132,24 +136,26 @@
     if (headerValue(answer.headers, names::serverStamp).empty()) {
         return "a success without a replica's signature";
     }
-    if (wanted.kind == request_kind::stream) {
-        const auto reading = readStream(answer.body, wanted, id);
-        const bool isCut = answer.end == answer_end::whole && (reading.of == 0 || reading.lastEvent != reading.of);
-        return reading.flaw.empty() && isCut ? fmt::format("ended after event {} of {}", reading.lastEvent, reading.of) : reading.flaw;
+    if (request.kind == request_kind::stream) {
+        const auto progress = parseStream(answer.body, request, id);
+        const bool isCut = answer.end == answer_end::whole && (progress.finalEvent == 0 || progress.lastEvent != progress.finalEvent);
+        return progress.flaw.empty() && isCut ? fmt::format("ended after event {} of {}", progress.lastEvent, progress.finalEvent)
+                                              : progress.flaw;
     }
     const auto json = answer.end == answer_end::whole ? parseJson(answer.body).value_or(Json::Value()) : Json::Value();
     const bool isOwn = json.isObject() && jsonString(json, "attempt") == id.value() && jsonFlag(json, "end");
     return answer.end != answer_end::whole || isOwn ? std::string() : "not the replica's whole body: " + answer.body;
 }
 
-attempt_end endOf(const client_answer &answer)
+/// Classifies how the attempt ended.
+attempt_end attemptEndOf(const client_answer &answer)
 {
     constexpr int success = 200;
     switch (answer.end) {
     case answer_end::not_sent:
         return attempt_end::not_sent;
-    case answer_end::left:
-        return attempt_end::left;
+    case answer_end::abandoned:
+        return attempt_end::abandoned;
     case answer_end::broken:
         return attempt_end::broken;
     case answer_end::whole:
@@ -163,11 +169,12 @@
     return isNotRun ? attempt_end::refused : attempt_end::failed;
 }
 
-/// As the platform's clients: what may have run is sent again only where that does no harm.
+/// Returns whether the attempt may be retried, by the rule of the platform's clients: a request that may have run is sent again only if a
+/// second run does no harm.
 bool mayRetry(const attempt_fact &attempt)
 {
     constexpr int firstServerError = 500;
-    if (attempt.kind == request_kind::probe || attempt.end == attempt_end::answered || attempt.end == attempt_end::left) {
+    if (attempt.kind == request_kind::probe || attempt.end == attempt_end::answered || attempt.end == attempt_end::abandoned) {
         return false;
     }
     const bool hasNotRun = attempt.end == attempt_end::refused || attempt.end == attempt_end::not_sent;
@@ -185,7 +192,7 @@
 soak_directory::soak_directory(std::vector<endpoint> daemons)
     : incarnations(daemons.size())
     , m_daemons(std::move(daemons))
-    , m_isIn(m_daemons.size(), false)
+    , m_inRotation(m_daemons.size(), false)
 {
 }
 
@@ -199,22 +206,23 @@
     return m_daemons.at(static_cast<std::size_t>(daemon));
 }
 
-void soak_directory::setIn(int daemon, bool isIn)
+void soak_directory::setInRotation(int daemon, bool isInRotation)
 {
     const std::lock_guard lock(m_mutex);
-    m_isIn.at(static_cast<std::size_t>(daemon)) = isIn;
+    m_inRotation.at(static_cast<std::size_t>(daemon)) = isInRotation;
 }
 
-int soak_directory::choose(std::uint64_t number) const
+int soak_directory::selectDaemon(std::uint64_t number) const
 {
     const std::lock_guard lock(m_mutex);
-    std::vector<int> in;
-    for (std::size_t daemon = 0; daemon < m_isIn.size(); ++daemon) {
-        if (m_isIn[daemon]) {
-            in.push_back(static_cast<int>(daemon));
+    std::vector<int> candidates;
+    for (std::size_t daemon = 0; daemon < m_inRotation.size(); ++daemon) {
+        if (m_inRotation[daemon]) {
+            candidates.push_back(static_cast<int>(daemon));
         }
     }
-    return in.size() * 2 < m_isIn.size() ? static_cast<int>(number % m_isIn.size()) : in[number % in.size()];
+    return candidates.size() * 2 < m_inRotation.size() ? static_cast<int>(number % m_inRotation.size())
+                                                       : candidates[number % candidates.size()];
 }
 
 void soak_directory::setVersion(std::uint64_t version)
@@ -257,11 +265,11 @@
     std::mt19937_64 generator;
     const soak_directory &directory;
     attempt_log &log;
-    /// All that it sends, where it is not empty.
+    /// If not empty, the body of all requests of this client.
     std::string deadlyBody;
     std::atomic<bool> isStopping = false;
     int lastId = 0;
-    /// Keys that were given out; it goes on using the first of them when they are withdrawn.
+    /// A changing key that the client keeps using for a while after its withdrawal.
     std::string knownKey;
     int knownKeyUses = 0;
     std::map<int, std::unique_ptr<client_connection>> connections;
@@ -275,83 +283,86 @@
     void run()
     {
         while (!isStopping) {
-            auto wanted = drawRequest();
-            serveWish(wanted);
-            std::this_thread::sleep_for(deadlyBody.empty() ? shortestThought + duration(generator() % longestThoughtMs) : deadlyPause);
+            auto request = drawRequest();
+            completeRequest(request);
+            std::this_thread::sleep_for(deadlyBody.empty() ? minThinkTime + duration(generator() % thinkTimeSpreadMs) : deadlyPause);
         }
     }
 
-    /// A key that changes is used for a while after its end.
+    /// Returns the key for the next request: the lasting one, or at random a changing one, which is used for a while after its withdrawal.
     std::string drawKey()
     {
-        constexpr int usesOfKey = 12;
+        constexpr int maxUsesOfOldKey = 12;
         if (!oneIn(changingKeyOneIn)) {
             return lastingKey;
         }
-        if (knownKey.empty() || (knownKey != directory.changingKey() && ++knownKeyUses > usesOfKey)) {
+        if (knownKey.empty() || (knownKey != directory.changingKey() && ++knownKeyUses > maxUsesOfOldKey)) {
             knownKey = directory.changingKey();
             knownKeyUses = 0;
         }
         return knownKey;
     }
 
-    wanted_request deadlyRequest() const
+    client_request deadlyRequest() const
     {
-        wanted_request wanted{request_kind::stream, streamPath, engineService, lastingKey};
-        wanted.body = deadlyBody;
-        wanted.deadline = monotonicNow() + patience;
-        return wanted;
+        client_request request{request_kind::stream, streamPath, engineService, lastingKey};
+        request.body = deadlyBody;
+        request.deadline = monotonicNow() + clientTimeout;
+        return request;
     }
 
-    wanted_request drawRequest()
+    /// Returns a random request, or the deadly request of a deadly client.
+    client_request drawRequest()
     {
         if (!deadlyBody.empty()) {
             return deadlyRequest();
         }
         constexpr int all = 100;
         const int drawn = static_cast<int>(generator() % all);
-        wanted_request wanted{request_kind::probe, {}, plainService, drawKey(), 0, oneIn(2) ? "m0" : "m1"};
-        wanted.deadline = monotonicNow() + patience;
-        if (drawn < streams) {
-            wanted.kind = request_kind::stream;
-            wanted.path = streamPath;
-            wanted.service = engineService;
-            wanted.leavesEarly = oneIn(leavesOneIn);
-        } else if (drawn < streams + idempotents) {
-            wanted.kind = request_kind::idempotent;
-            wanted.path = idempotentPath;
-        } else if (drawn < streams + idempotents + nonIdempotents) {
-            wanted.kind = request_kind::non_idempotent;
-            wanted.path = nonIdempotentPath;
+        client_request request{request_kind::probe, {}, plainService, drawKey(), 0, oneIn(2) ? "m0" : "m1"};
+        request.deadline = monotonicNow() + clientTimeout;
+        if (drawn < streamPercent) {
+            request.kind = request_kind::stream;
+            request.path = streamPath;
+            request.service = engineService;
+            request.abandonsEarly = oneIn(abandonOneIn);
+        } else if (drawn < streamPercent + idempotentPercent) {
+            request.kind = request_kind::idempotent;
+            request.path = idempotentPath;
+        } else if (drawn < streamPercent + idempotentPercent + nonIdempotentPercent) {
+            request.kind = request_kind::non_idempotent;
+            request.path = nonIdempotentPath;
         } else {
-            // Routes of withdrawn versions are asked for too.
+            // Routes of the previous version are probed too.
             const auto newest = directory.version();
-            wanted.version = newest > 1 && oneIn(3) ? newest - 1 : newest;
-            wanted.path = versionPath(wanted.version);
-            wanted.key = lastingKey;
+            request.version = newest > 1 && oneIn(3) ? newest - 1 : newest;
+            request.path = versionPath(request.version);
+            request.key = lastingKey;
         }
-        return wanted;
+        return request;
     }
 
-    void serveWish(wanted_request &wanted)
+    /// Sends attempts for the request until it is answered, must be given up or has used up its attempts.
+    void completeRequest(client_request &request)
     {
-        for (int attempts = 0; attempts < mostTries && !isStopping; ++attempts) {
-            const auto comeBackAfter = tryOnce(wanted, attempts > 0);
-            if (!comeBackAfter) {
+        for (int attempts = 0; attempts < maxAttempts && !isStopping; ++attempts) {
+            const auto retryDelay = sendAttempt(request, attempts > 0);
+            if (!retryDelay) {
                 return;
             }
-            // A third of the time that is left is the longest that a client waits.
-            const auto left = std::max(duration(0), std::chrono::duration_cast<duration>(wanted.deadline - monotonicNow()));
-            std::this_thread::sleep_for(std::min(*comeBackAfter, left / 3));
+            // A client waits for at most a third of the time that is left.
+            const auto remaining = std::max(duration(0), std::chrono::duration_cast<duration>(request.deadline - monotonicNow()));
+            std::this_thread::sleep_for(std::min(*retryDelay, remaining / 3));
         }
     }
 
-    /// The connection to a daemon; an open one whatever the daemon says of itself, else one that the balancer gives.
-    int chooseDaemon(bool isNew)
+    /// Returns the daemon for the next attempt. An open connection is reused whatever the daemon's readiness; a new one goes to a daemon
+    /// that the balancer selects.
+    int chooseDaemon(bool usesNewConnection)
     {
         std::erase_if(connections, [](const auto &entry) { return !entry.second->isOpen(); });
-        if (isNew || connections.empty() || oneIn(newConnectionOneIn)) {
-            const int daemon = directory.choose(generator());
+        if (usesNewConnection || connections.empty() || oneIn(newConnectionOneIn)) {
+            const int daemon = directory.selectDaemon(generator());
             connections[daemon] = std::make_unique<client_connection>(directory.daemonAt(daemon));
             return daemon;
         }
@@ -360,39 +371,39 @@
         return chosen->first;
     }
 
-    /// When to try again; nothing where the wish is served or must be given up.
-    std::optional<duration> tryOnce(wanted_request &wanted, bool isNew)
+    /// Sends one attempt and logs it. Returns the time to wait before a retry, or nothing if the request is answered or must be given up.
+    std::optional<duration> sendAttempt(client_request &request, bool usesNewConnection)
     {
-        const int daemon = chooseDaemon(isNew);
+        const int daemon = chooseDaemon(usesNewConnection);
         auto &connection = *connections.at(daemon);
         const request_id id(fmt::format("{}{:03}-{:06}", deadlyBody.empty() ? "c" : deadlyIdPrefix, number, ++lastId));
-        const bool hasModel = wanted.kind == request_kind::stream;
-        attempt_fact attempt{id, wanted.kind, wanted.service, wanted.key, hasModel ? wanted.model : "", daemon};
+        const bool hasModel = request.kind == request_kind::stream;
+        attempt_fact attempt{id, request.kind, request.service, request.key, hasModel ? request.model : "", daemon};
         attempt.incarnation = directory.incarnations.at(static_cast<std::size_t>(daemon));
-        attempt.version = wanted.version;
-        attempt.deadline = std::min(wanted.deadline, monotonicNow() + routeTimeout) - deadlineMargin;
+        attempt.version = request.version;
+        attempt.deadline = std::min(request.deadline, monotonicNow() + routeTimeout) - deadlineMargin;
         client_answer answer;
         if (connection.isOpen()) {
-            const auto leaves = [&](const std::string &body) { return wanted.leavesEarly && !body.empty(); };
-            answer = connection.exchange(requestText(wanted, id), longestSilence, leaves);
+            const auto shouldAbandon = [&](const std::string &body) { return request.abandonsEarly && !body.empty(); };
+            answer = connection.exchange(requestText(request, id), maxSilence, shouldAbandon);
         }
         attempt.sentAt = answer.sentAt;
         attempt.endedAt = monotonicNow();
-        attempt.end = endOf(answer);
+        attempt.end = attemptEndOf(answer);
         attempt.status = answer.status;
-        attempt.flaw = flawOf(answer, wanted, id);
+        attempt.flaw = findFlaw(answer, request, id);
         log.add(attempt);
-        if (wanted.kind == request_kind::stream) {
-            const auto reading = readStream(answer.body, wanted, id);
-            wanted.lastEvent = reading.lastEvent;
-            wanted.events = reading.of;
+        if (request.kind == request_kind::stream) {
+            const auto progress = parseStream(answer.body, request, id);
+            request.lastEvent = progress.lastEvent;
+            request.finalEvent = progress.finalEvent;
         }
         if (!mayRetry(attempt)) {
             return std::nullopt;
         }
         constexpr double millisecondsPerSecond = 1000;
-        const auto told = headerValue(answer.headers, "Retry-After");
-        return duration(static_cast<std::int64_t>(told.empty() ? 0 : std::stod(told) * millisecondsPerSecond));
+        const auto retryAfter = headerValue(answer.headers, "Retry-After");
+        return duration(static_cast<std::int64_t>(retryAfter.empty() ? 0 : std::stod(retryAfter) * millisecondsPerSecond));
     }
 };
 
--- a/Tests/Soak/soak_client.h
+++ b/Tests/Soak/soak_client.h
@@ -10,7 +10,7 @@
 
 namespace vetchpost::test {
 
-/// What clients need to know of the run; the run changes it, the clients read it.
+/// The state of the run that clients depend on. The run updates it and the clients read it. Thread-safe.
 class soak_directory
 {
 public:
@@ -18,27 +18,28 @@
 
     std::size_t daemonCount() const;
     endpoint daemonAt(int daemon) const;
-    /// Whether the balancer passes new connections to the daemon.
-    void setIn(int daemon, bool isIn);
-    /// One of the daemons that are in; one of all where fewer than half are.
-    int choose(std::uint64_t number) const;
+    /// Sets whether the balancer directs new connections to the daemon.
+    void setInRotation(int daemon, bool isInRotation);
+    /// Selects a daemon by \a number among those that the balancer uses, or among all daemons if the balancer uses fewer than half.
+    int selectDaemon(std::uint64_t number) const;
     void setVersion(std::uint64_t version);
     std::uint64_t version() const;
-    /// The key that is withdrawn now and then; some clients go on using the ones before it.
+    /// Sets the newest value of the key that the operator withdraws now and then. Some clients keep using earlier values for a while.
     void setChangingKey(const std::string &key);
     std::string changingKey() const;
 
+    /// The number of restarts of each daemon.
     std::vector<std::atomic<int>> incarnations;
 
 private:
     const std::vector<endpoint> m_daemons;
     mutable std::mutex m_mutex;
-    std::vector<bool> m_isIn;
+    std::vector<bool> m_inRotation;
     std::string m_changingKey;
     std::atomic<std::uint64_t> m_version = 0;
 };
 
-/// The attempts that have ended.
+/// Collects the attempts that have ended. Thread-safe.
 class attempt_log
 {
 public:
@@ -57,17 +58,18 @@
 constexpr auto streamPath = "/stream/";
 constexpr auto idempotentPath = "/again/";
 constexpr auto nonIdempotentPath = "/once/";
-/// Of all routes.
+/// The timeout of all routes.
 constexpr duration routeTimeout(5000);
-/// The path of the route that only this version of the configuration has.
+/// Returns the path prefix of the route that exists only in this version of the configuration.
 std::string versionPath(std::uint64_t version);
 
-/// The ids of a deadly client's attempts begin so, then its number.
+/// The prefix of the ids of a deadly client's attempts; the client's number follows.
 constexpr auto deadlyIdPrefix = "d";
-/// The bodies that end replicas begin so.
+/// The prefix of the request bodies that make a replica's process end.
 constexpr auto deadlyBodyPrefix = "deadly";
 
-/// A client on a thread of its own: keeps its connections, sends one request after the other and tries again as the platform's clients do.
+/// A client with its own thread and persistent connections. It sends one request after the other and retries as the platform's clients do.
+/// A client with a \a deadlyBody sends that body alone, again and again.
 class soak_client
 {
 public:
@@ -76,7 +78,7 @@
     soak_client(const soak_client &) = delete;
     soak_client &operator=(const soak_client &) = delete;
 
-    /// No new request begins; the one at hand goes on to its end.
+    /// Makes the client stop after its current attempt.
     void requestStop();
 
 private:
--- a/Tests/Soak/soak_cluster.cpp
+++ b/Tests/Soak/soak_cluster.cpp
@@ -18,17 +18,17 @@
 
 constexpr duration tick(20);
 constexpr duration readinessPeriod(1000);
-constexpr int missesUntilOut = 2;
-constexpr duration startLookPeriod(500);
-/// The first groups of both models are formed well within it.
-constexpr duration longestStart(20000);
-/// A start is over within it, by the moment that the loop sees.
+constexpr int failuresUntilRemoval = 2;
+constexpr duration startPollPeriod(500);
+/// The time limit of each step of the start. Both models form their first groups well within it.
+constexpr duration startTimeout(20000);
+/// How long a restarted daemon still counts as absent, from the loop's time at the restart.
 constexpr duration startMargin(300);
 constexpr int fabricDomains = 2;
-/// Replicas' ports, from the first port on.
+/// The offset of the replicas' ports from the first port.
 constexpr int replicaOffset = 100;
 
-endpoint local(int port)
+endpoint loopbackEndpoint(int port)
 {
     return {"127.0.0.1", static_cast<std::uint16_t>(port)};
 }
@@ -38,19 +38,20 @@
     return static_cast<std::size_t>(number);
 }
 
-std::string keyNumber(int number)
+std::string keyName(int number)
 {
     return fmt::format("key-{}", number);
 }
 
-void waitFor(const std::string &what, const std::function<bool()> &isThere)
+/// Polls until \a isDone returns true. Throws std::runtime_error on a timeout.
+void waitFor(const std::string &what, const std::function<bool()> &isDone)
 {
-    const auto latest = monotonicNow() + longestStart;
-    while (!isThere()) {
+    const auto latest = monotonicNow() + startTimeout;
+    while (!isDone()) {
         if (monotonicNow() > latest) {
             throw std::runtime_error("no " + what + " at the start");
         }
-        std::this_thread::sleep_for(startLookPeriod);
+        std::this_thread::sleep_for(startPollPeriod);
     }
 }
 
@@ -59,17 +60,17 @@
 soak_cluster::soak_cluster(const soak_options &options, soak_facts &facts)
     : m_options(options)
     , m_facts(facts)
-    , m_store(local(options.basePort))
-    , m_storeControl(local(options.basePort + 1))
-    , m_replicaControl(local(options.basePort + 2))
-    , m_care(index(options.size.daemons))
+    , m_store(loopbackEndpoint(options.basePort))
+    , m_storeControl(loopbackEndpoint(options.basePort + 1))
+    , m_replicaControl(loopbackEndpoint(options.basePort + 2))
+    , m_processStates(index(options.size.daemons))
 {
 }
 
 soak_cluster::~soak_cluster()
 {
     m_isStopping = true;
-    std::for_each(m_balancers.begin(), m_balancers.end(), [](std::thread &thread) { thread.join(); });
+    std::for_each(m_readinessPollers.begin(), m_readinessPollers.end(), [](std::thread &thread) { thread.join(); });
 }
 
 soak_daemon &soak_cluster::daemon(int number)
@@ -92,7 +93,7 @@
     return m_replicaControl;
 }
 
-// Start.
+// Startup.
 
 void soak_cluster::start()
 {
@@ -103,8 +104,8 @@
 
 void soak_cluster::startPlatform()
 {
-    // Listeners share ports here: calls would go to this store and to the other one in turn.
-    if (!factsOf(m_storeControl).isNull()) {
+    // Listeners can share a port on this system: calls would go to this store and to the other one in turn.
+    if (!fetchFacts(m_storeControl).isNull()) {
         throw std::runtime_error("other stand-ins listen at " + m_storeControl.text());
     }
     const auto start = [&](const char *name, std::vector<std::string> arguments) {
@@ -112,7 +113,7 @@
         m_standIns.push_back(std::make_unique<child_process>(arguments, m_options.folder + "/" + name + ".log"));
     };
     start("standInStore", {"--listen=" + m_store.text(), "--control=" + m_storeControl.text()});
-    waitFor("store", [&] { return !factsOf(m_storeControl).isNull(); });
+    waitFor("store", [&] { return !fetchFacts(m_storeControl).isNull(); });
     start("standInReplicas",
           {"--store=" + m_store.text(),
            "--control=" + m_replicaControl.text(),
@@ -121,7 +122,7 @@
            fmt::format("--domains={}", fabricDomains),
            fmt::format("--per-domain={}", m_options.size.replicas / fabricDomains),
            fmt::format("--services={}:{}", plainService, m_options.size.plainReplicas)});
-    waitFor("replicas", [&] { return !factsOf(m_replicaControl).isNull(); });
+    waitFor("replicas", [&] { return !fetchFacts(m_replicaControl).isNull(); });
 }
 
 void soak_cluster::startDaemons()
@@ -136,7 +137,7 @@
     m_directory->setChangingKey(changeConfiguration(false));
     for (int number = 0; number < m_options.size.daemons; ++number) {
         daemon(number).start(true);
-        m_balancers.emplace_back([this, number] { balance(number); });
+        m_readinessPollers.emplace_back([this, number] { pollReadiness(number); });
     }
 }
 
@@ -145,7 +146,7 @@
     waitFor("ready daemons", [&] { return areAllReadySince(instant()); });
     waitFor("open groups", [&] {
         std::size_t open = 0;
-        const auto facts = factsOf(m_replicaControl);
+        const auto facts = fetchFacts(m_replicaControl);
         for (const auto &replica : facts["replicas"]) {
             open += replica["group"].isObject() && jsonString(replica["group"], "State") == "open" ? 1U : 0U;
         }
@@ -153,17 +154,17 @@
     });
 }
 
-/// Asks one daemon whether it is ready, as the platform's balancer does.
-void soak_cluster::balance(int number)
+/// Checks one daemon's readiness periodically, as the platform's balancer does, until the cluster stops.
+void soak_cluster::pollReadiness(int number)
 {
-    int misses = missesUntilOut;
+    int failures = failuresUntilRemoval;
     while (!m_isStopping) {
         const auto asked = monotonicNow();
         const bool isReadyNow = isReady(daemon(number).readiness());
-        misses = isReadyNow ? 0 : misses + 1;
-        m_directory->setIn(number, misses < missesUntilOut);
+        failures = isReadyNow ? 0 : failures + 1;
+        m_directory->setInRotation(number, failures < failuresUntilRemoval);
         if (isReadyNow) {
-            m_care.at(index(number)).readyAtMs = asked.time_since_epoch().count();
+            m_processStates.at(index(number)).readyAtMs = asked.time_since_epoch().count();
         }
         while (!m_isStopping && monotonicNow() < asked + readinessPeriod) {
             std::this_thread::sleep_for(tick);
@@ -173,8 +174,8 @@
 
 bool soak_cluster::areAllReadySince(instant since) const
 {
-    return std::all_of(m_care.begin(), m_care.end(), [&](const daemon_care &care) {
-        return care.readyAtMs > 0 && instant(duration(care.readyAtMs)) >= since;
+    return std::all_of(m_processStates.begin(), m_processStates.end(), [&](const daemon_process_state &state) {
+        return state.readyAtMs > 0 && instant(duration(state.readyAtMs)) >= since;
     });
 }
 
@@ -191,84 +192,84 @@
 
 // Processes.
 
-void soak_cluster::careForDaemons(instant now)
+void soak_cluster::superviseDaemons(instant now)
 {
     for (int number = 0; number < m_options.size.daemons; ++number) {
-        auto &care = m_care.at(index(number));
-        if (care.stop && now > m_facts.stops.at(*care.stop).askedAt + soak_bounds().grace) {
+        auto &state = m_processStates.at(index(number));
+        if (state.stop && now > m_facts.stops.at(*state.stop).askedAt + soak_bounds().grace) {
             daemon(number).process().signal(SIGKILL);
         }
-        if (!care.absentSince && daemon(number).process().endedAt()) {
-            noteEnd(number, *daemon(number).process().endedAt());
+        if (!state.absentSince && daemon(number).process().endedAt()) {
+            recordExit(number, *daemon(number).process().endedAt());
         }
-        if (!care.absentSince || now < *care.absentSince + care.staysAway) {
+        if (!state.absentSince || now < *state.absentSince + state.downtime) {
             continue;
         }
-        if (std::exchange(care.moves, false)) {
-            daemon(number).move();
+        if (std::exchange(state.changesAddress, false)) {
+            daemon(number).changeAddress();
         }
         daemon(number).start(false);
         ++m_directory->incarnations.at(index(number));
-        m_facts.disturbances.push_back({disturbance_kind::absence, *care.absentSince, now + startMargin, number});
-        care.absentSince.reset();
-        care.isKilled = false;
-        care.isFrozen = false;
+        m_facts.disturbances.push_back({disturbance_kind::absence, *state.absentSince, now + startMargin, number});
+        state.absentSince.reset();
+        state.isKilled = false;
+        state.isFrozen = false;
     }
 }
 
-void soak_cluster::noteEnd(int number, instant at)
+void soak_cluster::recordExit(int number, instant at)
 {
-    auto &care = m_care.at(index(number));
-    care.absentSince = at;
-    if (care.stop) {
-        m_facts.stops.at(*care.stop).endedAt = at;
-        care.stop.reset();
-    } else if (!care.isKilled) {
+    auto &state = m_processStates.at(index(number));
+    state.absentSince = at;
+    if (state.stop) {
+        m_facts.stops.at(*state.stop).endedAt = at;
+        state.stop.reset();
+    } else if (!state.isKilled) {
         m_facts.crashes.push_back({number, at});
     }
 }
 
-void soak_cluster::stopDaemon(int number, duration staysAway, bool moves)
+void soak_cluster::stopDaemon(int number, duration downtime, bool changesAddress)
 {
-    auto &care = m_care.at(index(number));
-    if (care.stop || care.absentSince) {
+    auto &state = m_processStates.at(index(number));
+    if (state.stop || state.absentSince) {
         return;
     }
-    care.stop = m_facts.stops.size();
-    care.staysAway = staysAway;
-    care.moves = moves;
-    m_facts.stops.push_back({number, monotonicNow(), std::nullopt, care.isFrozen});
+    state.stop = m_facts.stops.size();
+    state.downtime = downtime;
+    state.changesAddress = changesAddress;
+    m_facts.stops.push_back({number, monotonicNow(), std::nullopt, state.isFrozen});
     daemon(number).process().signal(SIGTERM);
 }
 
-void soak_cluster::noteDisturbedStop(int number)
+void soak_cluster::markStopDisturbed(int number)
 {
-    const auto &stop = m_care.at(index(number)).stop;
+    const auto &stop = m_processStates.at(index(number)).stop;
     if (stop) {
         m_facts.stops.at(*stop).isDisturbed = true;
     }
 }
 
-void soak_cluster::killDaemon(int number, duration staysAway)
+void soak_cluster::killDaemon(int number, duration downtime)
 {
-    auto &care = m_care.at(index(number));
-    noteDisturbedStop(number);
-    care.isKilled = true;
-    care.staysAway = staysAway;
+    auto &state = m_processStates.at(index(number));
+    markStopDisturbed(number);
+    state.isKilled = true;
+    state.downtime = downtime;
     daemon(number).process().signal(SIGKILL);
 }
 
 void soak_cluster::freezeDaemon(int number)
 {
-    noteDisturbedStop(number);
-    m_care.at(index(number)).isFrozen = true;
+    markStopDisturbed(number);
+    m_processStates.at(index(number)).isFrozen = true;
     daemon(number).process().signal(SIGSTOP);
 }
 
 void soak_cluster::resumeDaemon(int number)
 {
-    // After a restart the signal finds the new process, which it does no harm.
-    m_care.at(index(number)).isFrozen = false;
+    // After a restart the signal reaches the new process, where it has no effect.
+    m_processStates.at(index(number)).isFrozen = false;
     daemon(number).process().signal(SIGCONT);
 }
 
@@ -276,14 +277,14 @@
 
 std::string soak_cluster::changeConfiguration(bool withdrawsKey)
 {
-    const auto withdrawn = withdrawsKey ? keyNumber(m_keys++) : std::string();
-    const auto acceptedAt = writeConfiguration(m_store, ++m_version, keyNumber(m_keys));
+    const auto withdrawn = withdrawsKey ? keyName(m_keyNumber++) : std::string();
+    const auto acceptedAt = writeConfiguration(m_store, ++m_version, keyName(m_keyNumber));
     if (!acceptedAt) {
-        throw std::runtime_error("the store did not take a configuration");
+        throw std::runtime_error("the store did not accept a configuration");
     }
     m_facts.configurations.push_back({m_version, *acceptedAt, withdrawn});
     m_directory->setVersion(m_version);
-    return keyNumber(m_keys);
+    return keyName(m_keyNumber);
 }
 
 } // namespace vetchpost::test
--- a/Tests/Soak/soak_cluster.h
+++ b/Tests/Soak/soak_cluster.h
@@ -12,7 +12,7 @@
 
 constexpr std::size_t modelCount = 2;
 
-/// The stand-ins of the platform, the daemons and the balancer of a soak. What becomes of the processes is written into the facts.
+/// The stand-ins of the platform, the daemons and the balancer of a soak. Stops, crashes and resource use are recorded in the facts.
 class soak_cluster
 {
 public:
@@ -21,7 +21,8 @@
     soak_cluster(const soak_cluster &) = delete;
     soak_cluster &operator=(const soak_cluster &) = delete;
 
-    /// Starts all of it and returns once both models are served; throws where they are not in time.
+    /// Starts all processes and returns once all daemons are ready and as many groups as there are models are open. Throws
+    /// std::runtime_error on a timeout.
     void start();
 
     soak_daemon &daemon(int number);
@@ -29,41 +30,46 @@
     const endpoint &storeControl() const;
     const endpoint &replicaControl() const;
 
-    /// Ends what has used up its grace, notes what has ended and starts it again after its time.
-    void careForDaemons(instant now);
-    /// Stops a daemon as planned; it is back, under another address where it \a moves, after it has been away for a while.
-    void stopDaemon(int number, duration staysAway, bool moves);
-    void killDaemon(int number, duration staysAway);
-    /// The process stands still until resumeDaemon().
+    /// Kills daemons that have used up their grace period, records those that have ended and restarts them when their downtime is over.
+    void superviseDaemons(instant now);
+    /// Asks a daemon to stop, unless it is stopping or absent already. It restarts \a downtime after its end, under another address if
+    /// \a changesAddress.
+    void stopDaemon(int number, duration downtime, bool changesAddress);
+    /// Kills a daemon; it restarts after \a downtime. A stop in progress is recorded as disturbed.
+    void killDaemon(int number, duration downtime);
+    /// Suspends the daemon's process until resumeDaemon(). A stop in progress is recorded as disturbed.
     void freezeDaemon(int number);
     void resumeDaemon(int number);
 
-    /// Writes the next version of the configuration, which may take a key away; the key that takes its place.
+    /// Writes the next version of the configuration, which replaces the changing key if \a withdrawsKey. Returns the key that is then
+    /// valid. Throws std::runtime_error if the store does not accept the configuration.
     std::string changeConfiguration(bool withdrawsKey);
+    /// Returns whether each daemon was found ready by a check at or after \a since.
     bool areAllReadySince(instant since) const;
+    /// Records the resource use of all daemons that run.
     void sampleResources();
 
 private:
-    /// What is known of a daemon's process beside the process.
-    struct daemon_care
+    /// The state of a daemon's process as the cluster supervises it.
+    struct daemon_process_state
     {
-        /// The stop that is going on, by its place in the facts.
+        /// The index in soak_facts::stops of the stop in progress.
         std::optional<std::size_t> stop;
         bool isKilled = false;
         bool isFrozen = false;
-        bool moves = false;
-        duration staysAway{0};
+        bool changesAddress = false;
+        duration downtime{0};
         std::optional<instant> absentSince;
-        /// When the newest question was asked that was answered with ready; 0 for never.
+        /// When the last readiness check began that found the daemon ready; 0 for never.
         std::atomic<std::int64_t> readyAtMs = 0;
     };
 
     void startPlatform();
     void startDaemons();
     void waitUntilServing() const;
-    void balance(int number);
-    void noteEnd(int number, instant at);
-    void noteDisturbedStop(int number);
+    void pollReadiness(int number);
+    void recordExit(int number, instant at);
+    void markStopDisturbed(int number);
 
     soak_options m_options;
     soak_facts &m_facts;
@@ -72,12 +78,12 @@
     endpoint m_replicaControl;
     std::vector<std::unique_ptr<child_process>> m_standIns;
     std::vector<std::unique_ptr<soak_daemon>> m_daemons;
-    std::vector<daemon_care> m_care;
+    std::vector<daemon_process_state> m_processStates;
     std::unique_ptr<soak_directory> m_directory;
     std::uint64_t m_version = 0;
-    int m_keys = 0;
+    int m_keyNumber = 0;
     std::atomic<bool> m_isStopping = false;
-    std::vector<std::thread> m_balancers;
+    std::vector<std::thread> m_readinessPollers;
 };
 
 } // namespace vetchpost::test
--- a/Tests/Soak/soak_daemon.cpp
+++ b/Tests/Soak/soak_daemon.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-/// Offsets from the first port. Daemons have addresses of their own and the same ports, the proxies ports of their own.
+/// Offsets from the first port. Each daemon has its own address and the same ports; each proxy has its own port.
 constexpr int callersOffset = 50;
 constexpr int readinessOffset = 51;
 constexpr int peersOffset = 52;
 constexpr int callersProxyOffset = 300;
 constexpr int storeProxyOffset = 400;
 
-endpoint placeOf(const std::string &host, int base, int offset)
+endpoint endpointAt(const std::string &host, int base, int offset)
 {
     return {host, static_cast<std::uint16_t>(base + offset)};
 }
@@ -26,24 +26,24 @@
 soak_daemon::soak_daemon(int number, const daemon_options &options, const endpoint &store)
     : m_number(number)
     , m_options(options)
-    , m_callersLink(callers(), placeOf(host(), options.basePort, callersOffset))
-    , m_storeLink(placeOf("127.0.0.1", options.basePort, storeProxyOffset + number), store)
+    , m_callersLink(callers(), endpointAt(host(), options.basePort, callersOffset))
+    , m_storeLink(endpointAt("127.0.0.1", options.basePort, storeProxyOffset + number), store)
 {
 }
 
 std::string soak_daemon::host() const
 {
-    return fmt::format("127.0.{}.{}", 1 + m_moves % 2, m_number + 1);
+    return fmt::format("127.0.{}.{}", 1 + m_addressChanges % 2, m_number + 1);
 }
 
 endpoint soak_daemon::callers() const
 {
-    return placeOf("127.0.0.1", m_options.basePort, callersProxyOffset + m_number);
+    return endpointAt("127.0.0.1", m_options.basePort, callersProxyOffset + m_number);
 }
 
 endpoint soak_daemon::readiness() const
 {
-    return placeOf(host(), m_options.basePort, readinessOffset);
+    return endpointAt(host(), m_options.basePort, readinessOffset);
 }
 
 loopback_proxy &soak_daemon::callersLink()
@@ -61,9 +61,9 @@
     return *m_process;
 }
 
-void soak_daemon::move()
+void soak_daemon::changeAddress()
 {
-    ++m_moves;
+    ++m_addressChanges;
 }
 
 std::string soak_daemon::fileName(const char *ending) const
@@ -90,18 +90,18 @@
   slack: {}
 )",
                        m_number,
-                       placeOf("127.0.0.1", m_options.basePort, storeProxyOffset + m_number).text(),
+                       endpointAt("127.0.0.1", m_options.basePort, storeProxyOffset + m_number).text(),
                        isFirstStart,
-                       placeOf(host(), m_options.basePort, callersOffset).text(),
+                       endpointAt(host(), m_options.basePort, callersOffset).text(),
                        readiness().text(),
-                       placeOf(host(), m_options.basePort, peersOffset).text(),
+                       endpointAt(host(), m_options.basePort, peersOffset).text(),
                        m_options.retrySlack);
 }
 
 void soak_daemon::start(bool isFirstStart)
 {
     writeSettings(isFirstStart);
-    m_callersLink.setServer(placeOf(host(), m_options.basePort, callersOffset));
+    m_callersLink.setServer(endpointAt(host(), m_options.basePort, callersOffset));
     m_process = std::make_unique<child_process>(std::vector<std::string>{m_options.program, "entry", "--settings=" + fileName("yaml")},
                                                 fileName("log"));
 }
--- a/Tests/Soak/soak_daemon.h
+++ b/Tests/Soak/soak_daemon.h
@@ -9,6 +9,7 @@
 
 namespace vetchpost::test {
 
+/// The settings that all daemons of a soak share.
 struct daemon_options
 {
     std::string program;
@@ -17,22 +18,23 @@
     int retrySlack = 0;
 };
 
-/// One daemon over all its processes, with the proxies before its clients and before its way to the store.
+/// One daemon across the restarts of its process, with the proxies between clients and it and between it and the store.
 class soak_daemon
 {
 public:
     soak_daemon(int number, const daemon_options &options, const endpoint &store);
 
-    /// Clients connect here, whatever the process's own address is.
+    /// The proxy's address for clients, which stays the same when the process's own address changes.
     endpoint callers() const;
     endpoint readiness() const;
     loopback_proxy &callersLink();
     loopback_proxy &storeLink();
     child_process &process();
 
+    /// Writes the settings and starts the process.
     void start(bool isFirstStart);
-    /// The next start is under another address.
-    void move();
+    /// Makes the next start use another address.
+    void changeAddress();
 
 private:
     std::string host() const;
@@ -41,7 +43,7 @@
 
     int m_number;
     daemon_options m_options;
-    std::atomic<int> m_moves = 0;
+    std::atomic<int> m_addressChanges = 0;
     loopback_proxy m_callersLink;
     loopback_proxy m_storeLink;
     std::unique_ptr<child_process> m_process;
--- a/Tests/Soak/soak_facts.h
+++ b/Tests/Soak/soak_facts.h
@@ -10,29 +10,30 @@
 
 namespace vetchpost::test {
 
-/// What may be done with a request whose answer did not come.
+/// The kind of a request, which decides how a client may recover from a lost answer.
 enum class request_kind {
-    /// A stream that another replica may go on with.
+    /// A stream that another replica can resume.
     stream,
     idempotent,
     non_idempotent,
-    /// Asks a daemon for a route that only one version of the configuration has.
+    /// A request for a route that exists in only one version of the configuration.
     probe
 };
 
+/// How a client's attempt ended.
 enum class attempt_end {
-    /// The whole answer of a replica.
+    /// The complete answer of a replica.
     answered,
-    /// A 408, 421, 429 or 503: it says that the request has not run and never will.
+    /// A 408, 421, 429 or 503, which asserts that the request has not run and never will.
     refused,
     /// Any other status.
     failed,
-    /// The connection ended or fell silent before the answer was whole.
+    /// The connection ended or stalled before the answer was complete.
     broken,
-    /// The connection was not there, or the request could not be sent on it.
+    /// There was no usable connection, or the request could not be sent on it.
     not_sent,
-    /// The client closed the connection before the end.
-    left
+    /// The client closed the connection before the end of the answer.
+    abandoned
 };
 
 /// One client attempt, as the client saw it.
@@ -42,69 +43,70 @@
     request_kind kind = request_kind::idempotent;
     std::string service;
     std::string key;
-    /// Empty where the service has no models.
+    /// Empty if the request names no model.
     std::string model;
     int daemon = 0;
-    /// The starts of the daemon before that moment.
+    /// The number of restarts of the daemon before the attempt.
     int incarnation = 0;
-    /// Of a probe: the version of the configuration that has its route.
+    /// For a probe, the version of the configuration that has its route.
     std::uint64_t version = 0;
     instant sentAt;
     instant endedAt;
-    /// The client's deadline or the route's timeout, whichever comes first.
+    /// The client's deadline or the route's timeout, whichever comes first, less a margin for daemons that give up early.
     instant deadline = instant::max();
     attempt_end end = attempt_end::not_sent;
     int status = 0;
-    /// What is wrong with the content of a whole answer; empty where nothing is.
+    /// What is wrong with the content of the answer; empty if nothing is.
     std::string flaw;
 };
 
-/// What a stand-in of the platform saw.
+/// An event that a stand-in of the platform recorded.
 struct platform_event
 {
     instant at;
     std::string what;
     request_id attempt;
     instance_id replica;
-    /// Of a join: the head of the replica's earlier group was open.
+    /// For a join: the head of the replica's earlier group was open.
     bool isWhileOpen = false;
-    /// Of a run: the group lacks members.
+    /// For a run: the group lacks members.
     bool isPartial = false;
-    /// Of a limit and of what an answer told: requests a second, seconds of rest.
+    /// For a rate limit, requests per second; for a backoff, seconds.
     double value = 0;
 };
 
+/// What a disturbance affects.
 enum class disturbance_kind {
     /// A daemon's process is killed or frozen.
     process,
-    /// A daemon's process is stopped as planned or told to read its settings; it has to lose nothing.
+    /// A daemon's process is stopped as planned or reloads its settings. It must lose no request.
     planned,
-    /// A daemon's process is not there, and its clients learn that.
+    /// A daemon's process does not run, and clients' connections to it fail.
     absence,
     /// The connections between clients and a daemon.
     callers,
-    /// The store, or a daemon's way to it.
+    /// The store, or a daemon's link to it.
     store,
     /// Replicas, whose answers may be missing.
     replicas
 };
 
-/// From the begin of a fault to the end of its effect.
+/// A time during which a fault may have an effect.
 struct disturbance
 {
     disturbance_kind kind = disturbance_kind::process;
     instant from;
     instant until;
-    /// Nothing where it may strike any of them.
+    /// The affected daemon, or nothing if the disturbance may affect any of them.
     std::optional<int> daemon;
 };
 
-/// A configuration that the store has taken.
+/// A configuration that the store has accepted.
 struct accepted_configuration
 {
     std::uint64_t version = 0;
     instant acceptedAt;
-    /// The key that it took away; empty for none.
+    /// The key that this version removed; empty if it removed none.
     std::string withdrawnKey;
 };
 
@@ -114,18 +116,18 @@
     int daemon = 0;
     instant askedAt;
     std::optional<instant> endedAt;
-    /// Whether it was killed or frozen meanwhile.
+    /// Whether the daemon was killed or frozen during the stop.
     bool isDisturbed = false;
 };
 
-/// A daemon's process that ended though nobody ended it.
+/// An unexpected end of a daemon's process.
 struct daemon_crash
 {
     int daemon = 0;
     instant at;
 };
 
-/// What a daemon's process used at one moment.
+/// The resource use of a daemon's process at one moment.
 struct resource_sample
 {
     instant at;
@@ -135,6 +137,7 @@
     long threads = 0;
 };
 
+/// All that clients, replicas and the run itself recorded; the input of the checks.
 struct soak_facts
 {
     std::vector<attempt_fact> attempts;
@@ -145,17 +148,17 @@
     std::vector<daemon_crash> crashes;
     std::vector<resource_sample> samples;
     instant faultsEndedAt;
-    /// When all daemons were ready and had answered for each model after the faults; nothing where that was not seen.
+    /// When all daemons were first found ready and had answered requests for each model after the faults; nothing if that did not happen.
     std::optional<instant> recoveredAt;
     instant endedAt;
 };
 
-/// A promise that was not kept.
+/// A violation of one of the daemons' promises.
 struct broken_promise
 {
     std::string promise;
     std::string details;
-    /// Empty where no single request shows it.
+    /// The attempt that shows the violation; empty if no single one does.
     request_id attempt;
 };
 
--- a/Tests/Soak/soak_platform.cpp
+++ b/Tests/Soak/soak_platform.cpp
@@ -20,7 +20,7 @@
 
 constexpr duration callTimeout(3000);
 constexpr duration readinessTimeout(500);
-constexpr std::size_t eventBytes = 64U << 20U;
+constexpr std::size_t maxReplyBytes = 64U << 20U;
 
 std::optional<http_reply> call(const endpoint &to, const std::string &target, const std::string &body, duration timeout)
 {
@@ -31,7 +31,7 @@
     call.headers = {{stand_in_names::ownCall, stand_in_names::ownCallValue}};
     call.body = body;
     call.receiveTimeout = timeout;
-    call.maximumReplySize = eventBytes;
+    call.maximumReplySize = maxReplyBytes;
     reason ignored;
     return sendOnFreshConnection(call, ignored);
 }
@@ -75,7 +75,7 @@
     call(control, "/faults", toJsonText(switches), callTimeout);
 }
 
-Json::Value factsOf(const endpoint &control)
+Json::Value fetchFacts(const endpoint &control)
 {
     const auto reply = call(control, "/facts", {}, callTimeout);
     return reply && reply->isSuccess() ? parseJson(reply->body).value_or(Json::Value()) : Json::Value();
@@ -83,15 +83,15 @@
 
 namespace {
 
-/// A number, or a text that holds one; 0 for any other.
-double valueOf(const Json::Value &value)
+/// Returns the value of a number, or of a number in a string; 0 for anything else.
+double parseNumber(const Json::Value &value)
 {
     return value.isNumeric() ? value.asDouble() : value.isString() ? std::strtod(value.asCString(), nullptr) : 0;
 }
 
 } // namespace
 
-std::vector<platform_event> newEvents(const endpoint &control, std::uint64_t &last)
+std::vector<platform_event> fetchEvents(const endpoint &control, std::uint64_t &last)
 {
     std::vector<platform_event> events;
     const auto reply = call(control, fmt::format("/events?after={}", last), {}, callTimeout);
@@ -108,7 +108,7 @@
                           instance_id(jsonString(*json, "replica")),
                           jsonFlag(*json, "while_open"),
                           jsonFlag(*json, "partial"),
-                          valueOf((*json)["value"])});
+                          parseNumber((*json)["value"])});
     }
     return events;
 }
--- a/Tests/Soak/soak_platform.h
+++ b/Tests/Soak/soak_platform.h
@@ -8,7 +8,7 @@
 
 namespace vetchpost::test {
 
-/// Where the stand-ins of the platform listen.
+/// The addresses on which the stand-ins of the platform listen.
 struct platform_addresses
 {
     endpoint store;
@@ -17,16 +17,18 @@
     std::uint16_t replicaPort = 0;
 };
 
+/// Sets fault switches of a stand-in.
 void setFaults(const endpoint &control, const Json::Value &switches);
-/// What a stand-in says of itself; null where it does not answer.
-Json::Value factsOf(const endpoint &control);
-/// The events after number \a last, which moves on.
-std::vector<platform_event> newEvents(const endpoint &control, std::uint64_t &last);
+/// Fetches the state that a stand-in reports, or null if it does not answer.
+Json::Value fetchFacts(const endpoint &control);
+/// Fetches the events of a stand-in after number \a last, and advances \a last to the newest of them.
+std::vector<platform_event> fetchEvents(const endpoint &control, std::uint64_t &last);
 
-/// Writes the configuration of a version as the operator; when the store took it, or nothing. Key \a changingKey is beside the lasting one.
+/// Writes a version of the configuration as the operator does. It accepts \a changingKey beside the lasting key. Returns the time after the
+/// store accepted it, or nothing if the store did not.
 std::optional<instant> writeConfiguration(const endpoint &store, std::uint64_t version, const std::string &changingKey);
 
-/// Whether a daemon says that it is ready.
+/// Returns whether a daemon reports that it is ready.
 bool isReady(const endpoint &readiness);
 
 } // namespace vetchpost::test
--- a/Tests/Soak/soak_run.cpp
+++ b/Tests/Soak/soak_run.cpp
@@ -21,31 +21,32 @@
 
 constexpr duration tick(20);
 constexpr duration eventPeriod(500);
-/// The daemons look at a replica that sends nothing for 250 ms, and take it for silent 200 ms later.
-constexpr duration longestAnswer(200);
-constexpr duration watchPeriod(50);
+/// Daemons probe a replica that has sent nothing for 250 ms, and treat it as silent 200 ms later.
+constexpr duration maxAnswerTime(200);
+constexpr duration stallPollPeriod(50);
 constexpr duration samplePeriod(1000);
-/// How long a fault may outlast the moment of its planned end: a turn of the loop and a call to a stand-in.
+/// How long a fault may outlast its planned end: one turn of the loop and a call to a stand-in.
 constexpr duration endMargin(300);
-/// A group that lost a member stands still for 1.5 s before its head gives up, and its members form anew within another second.
-constexpr duration replicaRepair(2500);
-/// A replica that ended under a request is back after this time.
-constexpr duration endLength(1500);
-/// A drained replica has ended after it, and another life may begin.
-constexpr duration drainLength(6000);
-/// Resets the connections that were silenced, once the silence is over.
-constexpr duration resetLength(100);
+/// A group that lost a member stalls for 1.5 s before its head gives up, and its members form a new group within another second.
+constexpr duration groupRepairTime(2500);
+/// A replica that a deadly request ended is back after this time.
+constexpr duration replicaRestartTime(1500);
+/// A drained replica has ended after this time and may be restarted.
+constexpr duration drainTime(6000);
+/// How long connections are reset after a silence, so that the silenced ones end.
+constexpr duration resetTime(100);
 
 std::atomic<bool> isInterrupted = false;
 
-Json::Value switchTo(const char *name, const Json::Value &value)
+/// Returns a stand-in's fault switch with its value.
+Json::Value makeSwitch(const char *name, const Json::Value &value)
 {
     Json::Value json;
     json[name] = value;
     return json;
 }
 
-/// What a fault may cost, and whom; nothing where it must cost nothing.
+/// Returns the kind of disturbance that a fault causes, or nothing if it must not affect any request.
 std::optional<disturbance_kind> disturbanceOf(fault_kind kind)
 {
     if (kind == fault_kind::stop_daemon || kind == fault_kind::move_daemon || kind == fault_kind::reload_daemon) {
@@ -60,79 +61,78 @@
     if (kind >= fault_kind::delay_store_link && kind <= fault_kind::forgetting_store) {
         return disturbance_kind::store;
     }
-    // A replica that drains serves on, and slow ones answer.
-    const bool mayLose = kind == fault_kind::kill_replica || kind == fault_kind::dark_replica || kind == fault_kind::losing_replicas
+    // Draining and slow replicas still answer.
+    const bool mayLoseAnswers = kind == fault_kind::kill_replica || kind == fault_kind::dark_replica || kind == fault_kind::losing_replicas
         || kind == fault_kind::garbling_replicas;
-    return mayLose ? std::optional(disturbance_kind::replicas) : std::nullopt;
+    return mayLoseAnswers ? std::optional(disturbance_kind::replicas) : std::nullopt;
 }
 
-/// Asks the replicas' process again and again. All replicas are one process, and where the machine does not let it run, none of them moves:
-/// no daemon can tell that from a fault, so that it counts as one. It is printed with its length.
-class standstill_watch
+/// Polls the process that plays all replicas and detects when it stalls. If the machine does not schedule that process, all replicas stall
+/// together. Daemons cannot tell that from a fault, so it counts as one. Each stall is printed with its length.
+class stall_detector
 {
 public:
-    explicit standstill_watch(const endpoint &control)
+    explicit stall_detector(const endpoint &control)
         : m_thread([this, control] {
             while (!m_isStopping) {
                 const auto asked = monotonicNow();
-                factsOf(control);
+                fetchFacts(control);
                 const auto answered = monotonicNow();
-                if (answered - asked > longestAnswer) {
-                    m_found.push_back({disturbance_kind::replicas, asked, answered + replicaRepair, std::nullopt});
-                    fmt::print("the replicas' process stood still for {} ms at {}\n",
-                               (answered - asked).count(),
-                               asked.time_since_epoch().count());
+                if (answered - asked > maxAnswerTime) {
+                    m_stalls.push_back({disturbance_kind::replicas, asked, answered + groupRepairTime, std::nullopt});
+                    fmt::print(
+                        "the replicas' process stalled for {} ms at {}\n", (answered - asked).count(), asked.time_since_epoch().count());
                 }
-                std::this_thread::sleep_for(watchPeriod);
+                std::this_thread::sleep_for(stallPollPeriod);
             }
         })
     {
     }
 
-    ~standstill_watch()
+    ~stall_detector()
     {
         stop();
     }
 
-    standstill_watch(const standstill_watch &) = delete;
-    standstill_watch &operator=(const standstill_watch &) = delete;
+    stall_detector(const stall_detector &) = delete;
+    stall_detector &operator=(const stall_detector &) = delete;
 
-    /// The standstills that were seen; ends the watch.
+    /// Stops polling and returns the stalls found, as disturbances of replicas.
     std::vector<disturbance> stop()
     {
         m_isStopping = true;
         if (m_thread.joinable()) {
             m_thread.join();
         }
-        return std::move(m_found);
+        return std::move(m_stalls);
     }
 
 private:
     std::atomic<bool> m_isStopping = false;
-    std::vector<disturbance> m_found;
+    std::vector<disturbance> m_stalls;
     std::thread m_thread;
 };
 
-/// Plays the plan against a cluster, beside the clients' traffic.
-class soak_player
+/// Runs clients' traffic against a cluster and applies the planned faults and notices.
+class soak_runner
 {
 public:
-    soak_player(const soak_options &options, const std::vector<planned_fault> &plan)
+    soak_runner(const soak_options &options, const std::vector<planned_fault> &plan)
         : m_options(options)
         , m_plan(plan)
         , m_cluster(options, m_facts)
     {
     }
 
-    soak_facts play()
+    soak_facts run()
     {
         m_cluster.start();
-        standstill_watch watch(m_cluster.replicaControl());
-        playTraffic();
+        stall_detector stallDetector(m_cluster.replicaControl());
+        runTraffic();
         std::this_thread::sleep_for(eventPeriod);
-        takeEvents();
-        const auto standstills = watch.stop();
-        m_facts.disturbances.insert(m_facts.disturbances.end(), standstills.begin(), standstills.end());
+        collectEvents();
+        const auto stalls = stallDetector.stop();
+        m_facts.disturbances.insert(m_facts.disturbances.end(), stalls.begin(), stalls.end());
         m_facts.endedAt = monotonicNow();
         m_facts.attempts = m_log.all();
         return m_facts;
@@ -141,22 +141,22 @@
 private:
     // Traffic.
 
-    void playTraffic()
+    void runTraffic()
     {
         const auto begin = monotonicNow();
         for (const auto &fault : m_plan) {
-            m_agenda.emplace(begin + fault.at, [this, fault] { apply(fault); });
+            m_scheduledActions.emplace(begin + fault.at, [this, fault] { apply(fault); });
         }
         const auto end = begin + m_options.size.length;
-        m_facts.faultsEndedAt = end - calmEnd;
+        m_facts.faultsEndedAt = end - recoveryLength;
         std::vector<std::unique_ptr<soak_client>> clients;
         clients.reserve(static_cast<std::size_t>(m_options.clients));
         for (int number = 0; number < m_options.clients; ++number) {
             clients.push_back(std::make_unique<soak_client>(number, m_options.seed, m_cluster.directory(), m_log));
         }
-        beginDeadlyRequests(begin);
+        scheduleDeadlyRequests(begin);
         for (const auto &notice : planNotices(m_options.seed, m_options.size, m_options.notices)) {
-            m_agenda.emplace(begin + notice.at, [this, notice] { beginNotice(notice); });
+            m_scheduledActions.emplace(begin + notice.at, [this, notice] { startNotice(notice); });
         }
         instant nextEvents;
         instant nextSample;
@@ -164,13 +164,13 @@
             if (isInterrupted) {
                 throw std::runtime_error("interrupted");
             }
-            while (!m_agenda.empty() && m_agenda.begin()->first <= now) {
-                m_agenda.extract(m_agenda.begin()).mapped()();
+            while (!m_scheduledActions.empty() && m_scheduledActions.begin()->first <= now) {
+                m_scheduledActions.extract(m_scheduledActions.begin()).mapped()();
             }
-            m_cluster.careForDaemons(now);
+            m_cluster.superviseDaemons(now);
             if (now >= nextEvents) {
-                takeEvents();
-                noteRecovery(now);
+                collectEvents();
+                updateRecovery(now);
                 nextEvents = now + eventPeriod;
             }
             if (now >= nextSample) {
@@ -182,43 +182,44 @@
         std::for_each(clients.begin(), clients.end(), [](const auto &client) { client->requestStop(); });
     }
 
-    /// They begin one after the other, spread over the time of the faults.
-    void beginDeadlyRequests(instant begin)
+    /// Schedules the starts of the deadly clients, spread over the time of the faults, and their stop at the end of it.
+    void scheduleDeadlyRequests(instant begin)
     {
-        setFaults(m_cluster.replicaControl(), switchTo("deadly_body", m_options.deadlyRequests > 0 ? deadlyBodyPrefix : ""));
+        setFaults(m_cluster.replicaControl(), makeSwitch("deadly_body", m_options.deadlyRequests > 0 ? deadlyBodyPrefix : ""));
         const auto time = m_facts.faultsEndedAt - begin;
         for (int number = 0; number < m_options.deadlyRequests; ++number) {
-            m_agenda.emplace(begin + time * (number + 1) / (m_options.deadlyRequests + 2), [this, number] {
+            m_scheduledActions.emplace(begin + time * (number + 1) / (m_options.deadlyRequests + 2), [this, number] {
                 m_deadlyClients.push_back(std::make_unique<soak_client>(
                     number, m_options.seed, m_cluster.directory(), m_log, fmt::format("{}-{}", deadlyBodyPrefix, number)));
             });
         }
-        m_agenda.emplace(m_facts.faultsEndedAt, [this] {
+        m_scheduledActions.emplace(m_facts.faultsEndedAt, [this] {
             for (const auto &client : m_deadlyClients) {
                 client->requestStop();
             }
         });
     }
 
-    /// What an ended replica was at is lost, as with any other.
-    void noteEndedReplica(const platform_event &event)
+    /// Records a disturbance: the requests in flight at a replica that has ended are lost.
+    void recordEndedReplica(const platform_event &event)
     {
-        m_facts.disturbances.push_back({disturbance_kind::replicas, event.at, event.at + replicaRepair + endLength, std::nullopt});
+        m_facts.disturbances.push_back(
+            {disturbance_kind::replicas, event.at, event.at + groupRepairTime + replicaRestartTime, std::nullopt});
     }
 
-    void takeEvents()
+    void collectEvents()
     {
-        const auto events = newEvents(m_cluster.replicaControl(), m_lastEvent);
+        const auto events = fetchEvents(m_cluster.replicaControl(), m_lastEvent);
         for (const auto &event : events) {
             if (event.what == "ended_replica") {
-                noteEndedReplica(event);
+                recordEndedReplica(event);
             }
         }
         m_facts.events.insert(m_facts.events.end(), events.begin(), events.end());
     }
 
-    /// All are ready, and each has answered requests for both models that were sent after the faults.
-    void noteRecovery(instant now)
+    /// Records the recovery once all daemons are ready and each has answered requests for both models that were sent after the faults.
+    void updateRecovery(instant now)
     {
         if (now < m_facts.faultsEndedAt || m_facts.recoveredAt || !m_cluster.areAllReadySince(m_facts.faultsEndedAt)) {
             return;
@@ -239,7 +240,7 @@
     void apply(const planned_fault &fault)
     {
         const auto now = monotonicNow();
-        note(fault, now);
+        recordDisturbance(fault, now);
         switch (fault.kind) {
         case fault_kind::stop_daemon:
         case fault_kind::move_daemon:
@@ -248,7 +249,7 @@
             return m_cluster.killDaemon(fault.target, fault.lasts);
         case fault_kind::freeze_daemon:
             m_cluster.freezeDaemon(fault.target);
-            m_agenda.emplace(now + fault.lasts, [this, fault] { m_cluster.resumeDaemon(fault.target); });
+            m_scheduledActions.emplace(now + fault.lasts, [this, fault] { m_cluster.resumeDaemon(fault.target); });
             return;
         case fault_kind::reload_daemon:
             return m_cluster.daemon(fault.target).process().signal(SIGHUP);
@@ -256,29 +257,29 @@
         case fault_kind::withdraw_key:
             return changeConfiguration(fault.kind == fault_kind::withdraw_key, now);
         default:
-            applyForAWhile(fault, now);
+            applyTemporarily(fault, now);
         }
     }
 
     void changeConfiguration(bool withdrawsKey, instant now)
     {
         const auto key = m_cluster.changeConfiguration(withdrawsKey);
-        // Once all daemons in touch know the key.
-        m_agenda.emplace(now + soak_bounds().configurationApply, [this, key] { m_cluster.directory().setChangingKey(key); });
+        // Clients use the key once all undisturbed daemons know it.
+        m_scheduledActions.emplace(now + soak_bounds().configurationApply, [this, key] { m_cluster.directory().setChangingKey(key); });
     }
 
-    /// Writes down whom the fault may cost what.
-    void note(const planned_fault &fault, instant now)
+    /// Records the disturbance that the fault causes, with the daemon that it affects.
+    void recordDisturbance(const planned_fault &fault, instant now)
     {
         if (const auto kind = disturbanceOf(fault.kind)) {
-            const bool isOfReplicas = *kind == disturbance_kind::replicas;
-            const bool isOfOne = fault.kind < fault_kind::silent_store;
-            const auto until = now + fault.lasts + endMargin + (isOfReplicas ? replicaRepair : duration(0));
-            m_facts.disturbances.push_back({*kind, now, until, isOfOne ? std::optional(fault.target) : std::nullopt});
+            const bool affectsReplicas = *kind == disturbance_kind::replicas;
+            const bool affectsOneDaemon = fault.kind < fault_kind::silent_store;
+            const auto until = now + fault.lasts + endMargin + (affectsReplicas ? groupRepairTime : duration(0));
+            m_facts.disturbances.push_back({*kind, now, until, affectsOneDaemon ? std::optional(fault.target) : std::nullopt});
         }
     }
 
-    void applyForAWhile(const planned_fault &fault, instant now)
+    void applyTemporarily(const planned_fault &fault, instant now)
     {
         const auto end = now + fault.lasts;
         if (fault.kind <= fault_kind::drip_callers) {
@@ -295,14 +296,14 @@
     void disturbLink(loopback_proxy &link, fault_kind kind, fault_kind first, instant end)
     {
         const auto offset = static_cast<int>(kind) - static_cast<int>(first);
-        const auto how = static_cast<link_fault>(static_cast<int>(link_fault::delay) + offset);
-        link.setFault(how);
-        const bool isOfClients = first == fault_kind::delay_callers;
-        if (how == link_fault::silence && isOfClients) {
-            m_agenda.emplace(end, [&link] { link.setFault(link_fault::reset); });
-            end += resetLength;
+        const auto applied = static_cast<link_fault>(static_cast<int>(link_fault::delay) + offset);
+        link.setFault(applied);
+        const bool isClientLink = first == fault_kind::delay_callers;
+        if (applied == link_fault::silence && isClientLink) {
+            m_scheduledActions.emplace(end, [&link] { link.setFault(link_fault::reset); });
+            end += resetTime;
         }
-        m_agenda.emplace(end, [&link] { link.setFault(link_fault::none); });
+        m_scheduledActions.emplace(end, [&link] { link.setFault(link_fault::none); });
     }
 
     void disturbStore(fault_kind kind, instant end)
@@ -311,38 +312,38 @@
         constexpr int slowMs = 400;
         switch (kind) {
         case fault_kind::silent_store:
-            return setForAWhile(m_cluster.storeControl(), "silent", true, false, end);
+            return setTemporarily(m_cluster.storeControl(), "silent", true, false, end);
         case fault_kind::refusing_store:
-            return setForAWhile(m_cluster.storeControl(), "refuse_503", true, false, end);
+            return setTemporarily(m_cluster.storeControl(), "refuse_503", true, false, end);
         case fault_kind::slow_store:
-            return setForAWhile(m_cluster.storeControl(), "slow_ms", slowMs, 0, end);
+            return setTemporarily(m_cluster.storeControl(), "slow_ms", slowMs, 0, end);
         case fault_kind::losing_store:
-            return setForAWhile(m_cluster.storeControl(), "lose_answers", lostShare, 0, end);
+            return setTemporarily(m_cluster.storeControl(), "lose_answers", lostShare, 0, end);
         default:
-            setFaults(m_cluster.storeControl(), switchTo("forget_history", true));
+            setFaults(m_cluster.storeControl(), makeSwitch("forget_history", true));
         }
     }
 
-    void setForAWhile(const endpoint &control, const char *name, const Json::Value &on, const Json::Value &off, instant end)
+    void setTemporarily(const endpoint &control, const char *name, const Json::Value &on, const Json::Value &off, instant end)
     {
-        setFaults(control, switchTo(name, on));
-        m_agenda.emplace(end, [control, name, off] { setFaults(control, switchTo(name, off)); });
+        setFaults(control, makeSwitch(name, on));
+        m_scheduledActions.emplace(end, [control, name, off] { setFaults(control, makeSwitch(name, off)); });
     }
 
-    /// All replicas that are dark or gone come back at the end.
-    void strikeReplica(const char *how, const std::string &id, instant end)
+    /// Applies a switch to one replica until \a end, then restores all replicas that are dark or gone.
+    void disturbReplica(const char *switchName, const std::string &id, instant end)
     {
         Json::Value ids(Json::arrayValue);
         ids.append(id);
-        setForAWhile(m_cluster.replicaControl(), how, ids, Json::Value(Json::arrayValue), end);
-        m_agenda.emplace(end, [this] { setFaults(m_cluster.replicaControl(), switchTo("revive", true)); });
+        setTemporarily(m_cluster.replicaControl(), switchName, ids, Json::Value(Json::arrayValue), end);
+        m_scheduledActions.emplace(end, [this] { setFaults(m_cluster.replicaControl(), makeSwitch("revive", true)); });
     }
 
-    /// One that requests go to: the head of a group, or a plain one.
-    std::string servingReplica(int draw) const
+    /// Returns the id of a replica that receives requests, the head of an open group or a replica without models. Empty if there is none.
+    std::string servingReplica(int randomNumber) const
     {
         std::vector<std::string> serving;
-        const auto facts = factsOf(m_cluster.replicaControl());
+        const auto facts = fetchFacts(m_cluster.replicaControl());
         for (const auto &replica : facts["replicas"]) {
             const auto &group = replica[platform_names::group];
             const bool isOpenHead = group.isObject() && jsonString(group, platform_names::state) == platform_names::open;
@@ -350,53 +351,54 @@
                 serving.push_back(jsonString(replica, "id"));
             }
         }
-        return serving.empty() ? std::string() : serving[static_cast<std::size_t>(draw) % serving.size()];
+        return serving.empty() ? std::string() : serving[static_cast<std::size_t>(randomNumber) % serving.size()];
     }
 
-    /// Lets a replica say something of itself for a while.
-    void beginNotice(const planned_notice &notice)
+    /// Makes a replica send the notice in its answers until the notice ends.
+    void startNotice(const planned_notice &notice)
     {
         const auto id = servingReplica(notice.target);
         const auto end = monotonicNow() + notice.lasts;
         switch (notice.kind) {
         case notice_kind::limit: {
-            char *rest = nullptr;
-            const auto value = std::strtod(notice.value.c_str(), &rest);
-            const auto limit = *rest == 0 ? switchTo(id.c_str(), value) : Json::Value(Json::objectValue);
-            return setForAWhile(m_cluster.replicaControl(), "limit", limit, switchTo(id.c_str(), Json::nullValue), end);
+            char *valueEnd = nullptr;
+            const auto value = std::strtod(notice.value.c_str(), &valueEnd);
+            const auto limit = *valueEnd == 0 ? makeSwitch(id.c_str(), value) : Json::Value(Json::objectValue);
+            return setTemporarily(m_cluster.replicaControl(), "limit", limit, makeSwitch(id.c_str(), Json::nullValue), end);
         }
-        case notice_kind::rest:
-            return setForAWhile(m_cluster.replicaControl(), "rest", switchTo(id.c_str(), notice.value), switchTo(id.c_str(), ""), end);
+        case notice_kind::backoff:
+            return setTemporarily(
+                m_cluster.replicaControl(), "rest", makeSwitch(id.c_str(), notice.value), makeSwitch(id.c_str(), ""), end);
         case notice_kind::leaving:
             break;
         }
         Json::Value ids(Json::arrayValue);
         ids.append(id);
-        setFaults(m_cluster.replicaControl(), switchTo("say_leaving", ids));
-        // Its entry says so later.
-        m_agenda.emplace(end, [this, id] { strikeReplica("drain", id, monotonicNow() + drainLength); });
+        setFaults(m_cluster.replicaControl(), makeSwitch("say_leaving", ids));
+        // Its entry in the store announces it later.
+        m_scheduledActions.emplace(end, [this, id] { disturbReplica("drain", id, monotonicNow() + drainTime); });
     }
 
     void disturbReplicas(const planned_fault &fault, instant end)
     {
         constexpr double lostShare = 0.4;
         constexpr double slowFactor = 4;
-        const auto id = jsonString(factsOf(m_cluster.replicaControl())["replicas"][fault.target], "id");
+        const auto id = jsonString(fetchFacts(m_cluster.replicaControl())["replicas"][fault.target], "id");
         switch (fault.kind) {
         case fault_kind::slow_replicas:
-            return setForAWhile(m_cluster.replicaControl(), "slow", switchTo(id.c_str(), slowFactor), switchTo(id.c_str(), 1), end);
+            return setTemporarily(m_cluster.replicaControl(), "slow", makeSwitch(id.c_str(), slowFactor), makeSwitch(id.c_str(), 1), end);
         case fault_kind::losing_replicas:
-            setForAWhile(m_cluster.replicaControl(), "late_orders", lostShare, 0, end);
-            return setForAWhile(m_cluster.replicaControl(), "lose_answer", lostShare, 0, end);
+            setTemporarily(m_cluster.replicaControl(), "late_orders", lostShare, 0, end);
+            return setTemporarily(m_cluster.replicaControl(), "lose_answer", lostShare, 0, end);
         case fault_kind::garbling_replicas:
-            setForAWhile(m_cluster.replicaControl(), "extra_bytes", lostShare, 0, end);
-            return setForAWhile(m_cluster.replicaControl(), "garble", lostShare, 0, end);
+            setTemporarily(m_cluster.replicaControl(), "extra_bytes", lostShare, 0, end);
+            return setTemporarily(m_cluster.replicaControl(), "garble", lostShare, 0, end);
         case fault_kind::dark_replica:
-            return strikeReplica("dark", id, end);
+            return disturbReplica("dark", id, end);
         case fault_kind::kill_replica:
-            return strikeReplica("kill", id, end);
+            return disturbReplica("kill", id, end);
         default:
-            return strikeReplica("drain", id, monotonicNow() + drainLength);
+            return disturbReplica("drain", id, monotonicNow() + drainTime);
         }
     }
 
@@ -404,7 +406,7 @@
     std::vector<planned_fault> m_plan;
     soak_facts m_facts;
     attempt_log m_log;
-    std::multimap<instant, std::function<void()>> m_agenda;
+    std::multimap<instant, std::function<void()>> m_scheduledActions;
     std::uint64_t m_lastEvent = 0;
     soak_cluster m_cluster;
     std::vector<std::unique_ptr<soak_client>> m_deadlyClients;
@@ -419,7 +421,7 @@
 
 soak_facts runSoak(const soak_options &options, const std::vector<planned_fault> &plan)
 {
-    return soak_player(options, plan).play();
+    return soak_runner(options, plan).run();
 }
 
 } // namespace vetchpost::test
--- a/Tests/Soak/soak_run.h
+++ b/Tests/Soak/soak_run.h
@@ -8,29 +8,30 @@
 
 namespace vetchpost::test {
 
+/// The options of a soak run.
 struct soak_options
 {
     std::uint64_t seed = 1;
     schedule_size size;
     int clients = 12;
-    /// Requests that end each replica which runs them; each comes again and again until the faults end.
+    /// The number of deadly requests: each ends every replica that runs it and is sent repeatedly until the faults end.
     int deadlyRequests = 0;
-    /// Times that a replica names a limit, asks for rest or says that it leaves.
+    /// How many times a replica reports a rate limit, asks for a backoff or announces that it leaves.
     int notices = 0;
-    /// For settings and logs.
+    /// The folder for settings and logs.
     std::string folder;
     std::string daemonProgram;
-    /// Where the programs of the stand-ins are.
+    /// The folder with the programs of the stand-ins.
     std::string standIns;
-    /// The first port; some hundred from it on are used.
+    /// The first of several hundred ports that the run uses.
     std::uint16_t basePort = 30000;
 };
 
-/// Makes the run at hand end early, with its processes. May be called by a signal handler.
+/// Makes the current run and its processes end early. Safe to call from a signal handler.
 void interruptSoak();
 
-/// Starts the stand-ins, the daemons and the clients, disturbs them as planned and returns what was seen. Throws where they cannot be
-/// started or do not serve before the first fault. All processes have ended when it returns.
+/// Starts the stand-ins, the daemons and the clients, applies the planned faults and returns the recorded facts. Throws std::runtime_error
+/// if the processes cannot be started or do not serve in time, or if the run is interrupted. All processes have ended when it returns.
 soak_facts runSoak(const soak_options &options, const std::vector<planned_fault> &plan);
 
 } // namespace vetchpost::test
--- a/Tests/Soak/soak_schedule.cpp
+++ b/Tests/Soak/soak_schedule.cpp
@@ -11,41 +11,42 @@
 
 namespace {
 
-constexpr std::array<std::string_view, faultKindCount> names
+constexpr std::array<std::string_view, faultKindCount> faultNames
     = {"stop_daemon",     "move_daemon",        "kill_daemon",          "freeze_daemon", "reload_daemon",    "delay_callers",
        "reset_callers",   "cut_callers",        "silence_callers",      "drip_callers",  "delay_store_link", "reset_store_link",
        "cut_store_link",  "silence_store_link", "drip_store_link",      "silent_store",  "refusing_store",   "slow_store",
        "losing_store",    "forgetting_store",   "kill_replica",         "dark_replica",  "drain_replica",    "slow_replicas",
        "losing_replicas", "garbling_replicas",  "change_configuration", "withdraw_key"};
 
-/// Traffic runs undisturbed for a while first.
-constexpr duration calmBegin(2000);
-/// Between two faults of a series, from the begin of the one to that of the next; most faults last longer, so that they overlap.
-constexpr duration longestStep(1500);
-/// Between two series.
-constexpr duration shortestPause(1000);
-constexpr duration longestPause(3000);
-constexpr int longestSeries = 4;
-constexpr duration shortestFault(300);
-constexpr duration longestFault(6500);
-
-/// The standard distributions differ between libraries; the schedule of a seed must not.
-class draw
+/// Traffic runs without faults for this long at first.
+constexpr duration initialQuietTime(2000);
+/// The longest time between the starts of two faults of a series. Most faults last longer, so that they overlap.
+constexpr duration maxStep(1500);
+/// The pause between two series of faults.
+constexpr duration minPause(1000);
+constexpr duration maxPause(3000);
+constexpr int maxSeriesLength = 4;
+constexpr duration minFaultLength(300);
+constexpr duration maxFaultLength(6500);
+
+/// Random numbers that depend on the seed alone. The results of the standard distributions differ between libraries, so they are not used.
+class deterministic_random
 {
 public:
-    explicit draw(std::uint64_t seed)
+    explicit deterministic_random(std::uint64_t seed)
         : m_generator(seed)
     {
     }
 
+    /// Returns a number from 0 to \a limit - 1; 0 if \a limit is less than 1.
     int below(std::int64_t limit)
     {
         return static_cast<int>(m_generator() % static_cast<std::uint64_t>(std::max<std::int64_t>(1, limit)));
     }
 
-    duration between(duration least, duration most)
+    duration between(duration minimum, duration maximum)
     {
-        return least + duration(below((most - least).count() + 1));
+        return minimum + duration(below((maximum - minimum).count() + 1));
     }
 
     template <class List>
@@ -60,17 +61,17 @@
     std::mt19937_64 m_generator;
 };
 
-bool isOfReplica(fault_kind kind)
+bool targetsReplica(fault_kind kind)
 {
     return kind >= fault_kind::kill_replica && kind <= fault_kind::garbling_replicas;
 }
 
-/// Each kind once, in an order of its own, before any comes again.
-class deck
+/// Yields all fault kinds in random order before any of them is repeated, with a new order for each round.
+class shuffled_fault_kinds
 {
 public:
-    explicit deck(draw &numbers)
-        : m_numbers(numbers)
+    explicit shuffled_fault_kinds(deterministic_random &randomNumbers)
+        : m_randomNumbers(randomNumbers)
     {
     }
 
@@ -80,7 +81,7 @@
             for (std::size_t number = 0; number < faultKindCount; ++number) {
                 m_left.push_back(static_cast<fault_kind>(number));
             }
-            m_numbers.shuffle(m_left);
+            m_randomNumbers.shuffle(m_left);
         }
         const auto kind = m_left.back();
         m_left.pop_back();
@@ -88,7 +89,7 @@
     }
 
 private:
-    draw &m_numbers;
+    deterministic_random &m_randomNumbers;
     std::vector<fault_kind> m_left;
 };
 
@@ -96,28 +97,28 @@
 
 std::string_view faultName(fault_kind kind)
 {
-    return names.at(static_cast<std::size_t>(kind));
+    return faultNames.at(static_cast<std::size_t>(kind));
 }
 
 std::vector<planned_fault> planFaults(std::uint64_t seed, const schedule_size &size)
 {
-    draw numbers(seed);
-    deck kinds(numbers);
+    deterministic_random randomNumbers(seed);
+    shuffled_fault_kinds kinds(randomNumbers);
     std::vector<planned_fault> plan;
-    const auto latest = size.length - calmEnd;
-    auto at = calmBegin;
+    const auto latest = size.length - recoveryLength;
+    auto at = initialQuietTime;
     while (at < latest) {
-        const int count = 1 + numbers.below(longestSeries);
+        const int count = 1 + randomNumbers.below(maxSeriesLength);
         for (int number = 0; number < count && at < latest; ++number) {
             planned_fault fault;
             fault.at = at;
             fault.kind = kinds.next();
-            fault.lasts = std::min(numbers.between(shortestFault, longestFault), latest - at);
-            fault.target = numbers.below(isOfReplica(fault.kind) ? size.replicas + size.plainReplicas : size.daemons);
+            fault.lasts = std::min(randomNumbers.between(minFaultLength, maxFaultLength), latest - at);
+            fault.target = randomNumbers.below(targetsReplica(fault.kind) ? size.replicas + size.plainReplicas : size.daemons);
             plan.push_back(fault);
-            at += numbers.between(duration(0), longestStep);
+            at += randomNumbers.between(duration(0), maxStep);
         }
-        at += numbers.between(shortestPause, longestPause);
+        at += randomNumbers.between(minPause, maxPause);
     }
     return plan;
 }
@@ -130,22 +131,22 @@
 std::vector<planned_notice> planNotices(std::uint64_t seed, const schedule_size &size, int count)
 {
     constexpr std::array<std::string_view, 8> limits = {"0.5", "1.2", "2", "5", "10", "40", "100", "many"};
-    constexpr std::array<std::string_view, 7> rests = {"0.4", "1", "2.5", "3", "6", "-1", "soon"};
-    constexpr duration shortestNotice(1500);
+    constexpr std::array<std::string_view, 7> backoffs = {"0.4", "1", "2.5", "3", "6", "-1", "soon"};
+    constexpr duration minNoticeLength(1500);
     constexpr int kinds = 3;
-    // Other numbers than those of the faults.
-    constexpr std::uint64_t ownStream = 0x9e3779b97f4a7c15ULL;
-    draw numbers(seed ^ ownStream);
+    // Separates the random numbers from those of the faults.
+    constexpr std::uint64_t noticeSeedMask = 0x9e3779b97f4a7c15ULL;
+    deterministic_random randomNumbers(seed ^ noticeSeedMask);
     std::vector<planned_notice> plan;
-    const auto time = size.length - calmEnd - calmBegin;
+    const auto time = size.length - recoveryLength - initialQuietTime;
     for (int number = 0; number < count; ++number) {
         planned_notice notice;
-        notice.at = calmBegin + time * number / count;
-        notice.lasts = std::min(numbers.between(shortestNotice, longestFault), size.length - calmEnd - notice.at);
-        notice.kind = static_cast<notice_kind>(numbers.below(kinds));
-        notice.target = numbers.below(size.replicas + size.plainReplicas);
-        notice.value = notice.kind == notice_kind::limit ? limits.at(static_cast<std::size_t>(numbers.below(limits.size())))
-                                                         : rests.at(static_cast<std::size_t>(numbers.below(rests.size())));
+        notice.at = initialQuietTime + time * number / count;
+        notice.lasts = std::min(randomNumbers.between(minNoticeLength, maxFaultLength), size.length - recoveryLength - notice.at);
+        notice.kind = static_cast<notice_kind>(randomNumbers.below(kinds));
+        notice.target = randomNumbers.below(size.replicas + size.plainReplicas);
+        notice.value = notice.kind == notice_kind::limit ? limits.at(static_cast<std::size_t>(randomNumbers.below(limits.size())))
+                                                         : backoffs.at(static_cast<std::size_t>(randomNumbers.below(backoffs.size())));
         plan.push_back(notice);
     }
     return plan;
--- a/Tests/Soak/soak_schedule.h
+++ b/Tests/Soak/soak_schedule.h
@@ -10,95 +10,105 @@
 
 namespace vetchpost::test {
 
+/// The kinds of planned faults. Their order and names are part of a seed's schedule.
 enum class fault_kind {
-    // Of a daemon's process; it comes back.
+    // Faults of a daemon's process, which is restarted or resumed.
     stop_daemon,
-    /// Comes back under another address.
+    /// Restarts under another address.
     move_daemon,
     kill_daemon,
     freeze_daemon,
     reload_daemon,
-    // Of the connections between clients and a daemon.
+    // Faults of the connections between clients and a daemon.
     delay_callers,
     reset_callers,
     cut_callers,
     silence_callers,
     drip_callers,
-    // Of the connections between a daemon and the store.
+    // Faults of the connections between a daemon and the store.
     delay_store_link,
     reset_store_link,
     cut_store_link,
     silence_store_link,
     drip_store_link,
-    // Of the store, for all.
+    // Faults of the store, which affect all daemons.
     silent_store,
     refusing_store,
     slow_store,
     losing_store,
     forgetting_store,
-    // Of a replica.
+    // Faults of replicas.
     kill_replica,
     dark_replica,
     drain_replica,
     slow_replicas,
     losing_replicas,
     garbling_replicas,
-    // Of the operator; no faults, but they come among them.
+    // Actions of the operator. They are no faults but are scheduled among them.
     change_configuration,
     withdraw_key
 };
 constexpr std::size_t faultKindCount = static_cast<std::size_t>(fault_kind::withdraw_key) + 1;
 
+/// Returns the name of a fault kind, as describe() prints it.
 std::string_view faultName(fault_kind kind);
 
+/// A fault with its time and its target.
 struct planned_fault
 {
-    /// From the begin of the traffic.
+    /// The time since the start of the traffic.
     duration at{0};
     duration lasts{0};
     fault_kind kind = fault_kind::stop_daemon;
-    /// The number of the daemon or replica that it strikes, from 0.
+    /// The number of the affected daemon or replica, from 0.
     int target = 0;
 };
 
+/// The length of a run and the numbers of its processes.
 struct schedule_size
 {
     duration length{0};
     int daemons = 1;
-    /// With an engine.
+    /// Replicas with an engine; plainReplicas have none.
     int replicas = 1;
     int plainReplicas = 3;
 };
 
-/// The whole schedule of a seed, in the order of its times. Faults come in series that overlap, and end a while before the end.
+/// Returns the schedule of faults for a seed, in the order of their times. Faults come in series that overlap, and all end recoveryLength
+/// before the end of the run.
 std::vector<planned_fault> planFaults(std::uint64_t seed, const schedule_size &size);
 
-/// The last part of a run, in which nothing is disturbed and all has to recover.
-constexpr duration calmEnd(14000);
+/// The length of the last part of a run, in which there are no faults and all daemons have to recover.
+constexpr duration recoveryLength(14000);
 
+/// Returns the printed line for a fault of the schedule.
 std::string describe(const planned_fault &fault);
 
-/// What a replica says of itself for a while.
+/// The kinds of notices that a replica sends about itself in its answers.
 enum class notice_kind {
+    /// It reports a rate limit.
     limit,
-    /// It rejects what comes, and asks for rest.
-    rest,
-    /// It says in its answers that it leaves, a while before its entry does.
+    /// It rejects requests and asks for a backoff.
+    backoff,
+    /// Its answers announce that it leaves, some time before its entry in the store does.
     leaving
 };
 
+/// A notice with its time and the replica that sends it.
 struct planned_notice
 {
     duration at{0};
     duration lasts{0};
     notice_kind kind = notice_kind::limit;
     int target = 0;
-    /// As its answers write it.
+    /// The value as the replica's answers contain it.
     std::string value;
 };
 
-/// So many notices, spread over the time of the faults; they overlap. Independent of the faults of the seed.
+/// Returns \a count notices for a seed, spread over the time of the faults. They may overlap. Their random numbers are independent of those
+/// of planFaults().
 std::vector<planned_notice> planNotices(std::uint64_t seed, const schedule_size &size, int count);
+/// Returns the printed line for a notice of the schedule.
 std::string describe(const planned_notice &notice);
 
 } // namespace vetchpost::test
--- a/Tests/SoakChecks/testSoakChecks.cpp
+++ b/Tests/SoakChecks/testSoakChecks.cpp
@@ -47,8 +47,9 @@
     return {kind, at(from), at(until), daemon};
 }
 
-/// A run that lasts long after all that the tests put into it.
-soak_facts factsOf(std::vector<attempt_fact> attempts, std::vector<platform_event> events = {}, std::vector<disturbance> disturbances = {})
+/// Returns the facts of a run that ends long after all events of the tests.
+soak_facts
+makeFacts(std::vector<attempt_fact> attempts, std::vector<platform_event> events = {}, std::vector<disturbance> disturbances = {})
 {
     soak_facts facts;
     facts.attempts = std::move(attempts);
@@ -60,7 +61,7 @@
 
 } // namespace
 
-TEST_CASE("A request that ends replicas may be sent three times more once all daemons could know of it")
+TEST_CASE("A request that ends replicas may be sent three more times once all daemons had time to learn of it")
 {
     std::vector<attempt_fact> attempts;
     std::vector<platform_event> events;
@@ -79,105 +80,107 @@
     for (const int time : {4000, 5000, 6000}) {
         send(time, false);
     }
-    CHECK(checkDeadlyRequests(factsOf(attempts, events), bounds).empty());
+    CHECK(checkDeadlyRequests(makeFacts(attempts, events), bounds).empty());
     send(7000, false);
-    CHECK(checkDeadlyRequests(factsOf(attempts, events), bounds).size() == 1);
+    CHECK(checkDeadlyRequests(makeFacts(attempts, events), bounds).size() == 1);
     const auto killed = fault(disturbance_kind::process, 6500, 7500, 0);
-    CHECK(checkDeadlyRequests(factsOf(attempts, events, {killed}), bounds).empty());
+    CHECK(checkDeadlyRequests(makeFacts(attempts, events, {killed}), bounds).empty());
 }
 
-TEST_CASE("A request that breaks off is a broken promise, unless a fault may have cost its answer")
+TEST_CASE("A request without a complete answer is a broken promise, unless a fault may have caused the loss")
 {
     const auto lost = attempt(request_kind::non_idempotent, attempt_end::broken, 0, 500);
-    CHECK(checkAnswers(factsOf({lost}, {event(10, "arrived")}), bounds).size() == 1);
+    CHECK(checkAnswers(makeFacts({lost}, {event(10, "arrived")}), bounds).size() == 1);
     for (const auto kind : {disturbance_kind::process, disturbance_kind::callers, disturbance_kind::replicas}) {
-        CHECK(checkAnswers(factsOf({lost}, {}, {fault(kind, 100, 200, 0)}), bounds).empty());
+        CHECK(checkAnswers(makeFacts({lost}, {}, {fault(kind, 100, 200, 0)}), bounds).empty());
     }
-    CHECK(checkAnswers(factsOf({lost}, {}, {fault(disturbance_kind::process, 100, 200, 1)}), bounds).size() == 1);
-    CHECK(checkAnswers(factsOf({lost}, {}, {fault(disturbance_kind::process, 600, 700, 0)}), bounds).size() == 1);
-    CHECK(checkAnswers(factsOf({attempt(request_kind::stream, attempt_end::answered, 0, 500, 200)}), bounds).empty());
+    CHECK(checkAnswers(makeFacts({lost}, {}, {fault(disturbance_kind::process, 100, 200, 1)}), bounds).size() == 1);
+    CHECK(checkAnswers(makeFacts({lost}, {}, {fault(disturbance_kind::process, 600, 700, 0)}), bounds).size() == 1);
+    CHECK(checkAnswers(makeFacts({attempt(request_kind::stream, attempt_end::answered, 0, 500, 200)}), bounds).empty());
 }
 
-TEST_CASE("A planned stop and the end of the process after it cost no answer")
+TEST_CASE("A planned stop and the end of the process after it excuse no lost answer")
 {
     const auto lost = attempt(request_kind::stream, attempt_end::broken, 0, 500);
-    CHECK(checkAnswers(factsOf({lost}, {}, {fault(disturbance_kind::planned, 100, 200, 0)}), bounds).size() == 1);
-    CHECK(checkAnswers(factsOf({lost}, {}, {fault(disturbance_kind::absence, 490, 2000, 0)}), bounds).size() == 1);
-    const auto unheard = attempt(request_kind::stream, attempt_end::broken, 500, 1500);
-    CHECK(checkAnswers(factsOf({unheard}, {}, {fault(disturbance_kind::absence, 490, 2000, 0)}), bounds).empty());
+    CHECK(checkAnswers(makeFacts({lost}, {}, {fault(disturbance_kind::planned, 100, 200, 0)}), bounds).size() == 1);
+    CHECK(checkAnswers(makeFacts({lost}, {}, {fault(disturbance_kind::absence, 490, 2000, 0)}), bounds).size() == 1);
+    const auto sentWhileAbsent = attempt(request_kind::stream, attempt_end::broken, 500, 1500);
+    CHECK(checkAnswers(makeFacts({sentWhileAbsent}, {}, {fault(disturbance_kind::absence, 490, 2000, 0)}), bounds).empty());
 }
 
-TEST_CASE("A request may cross the close of its connection only at once and if no replica has it")
+TEST_CASE("A request counts as crossing the close of its connection only if it fails quickly and no replica received it")
 {
     const auto crossing = attempt(request_kind::idempotent, attempt_end::broken, 0, 150);
-    CHECK(checkAnswers(factsOf({crossing}), bounds).empty());
-    CHECK(checkAnswers(factsOf({crossing}, {event(10, "arrived")}), bounds).size() == 1);
-    CHECK(checkAnswers(factsOf({attempt(request_kind::idempotent, attempt_end::broken, 0, 250)}), bounds).size() == 1);
+    CHECK(checkAnswers(makeFacts({crossing}), bounds).empty());
+    CHECK(checkAnswers(makeFacts({crossing}, {event(10, "arrived")}), bounds).size() == 1);
+    CHECK(checkAnswers(makeFacts({attempt(request_kind::idempotent, attempt_end::broken, 0, 250)}), bounds).size() == 1);
 }
 
-TEST_CASE("A failure is allowed at the deadline, and a 401 for a key that is withdrawn")
+TEST_CASE("A failure is allowed at the deadline, and a 401 for a withdrawn key")
 {
     auto late = attempt(request_kind::idempotent, attempt_end::failed, 0, 500, 504);
-    CHECK(checkAnswers(factsOf({late}), bounds).size() == 1);
+    CHECK(checkAnswers(makeFacts({late}), bounds).size() == 1);
     late.deadline = at(480);
-    CHECK(checkAnswers(factsOf({late}), bounds).empty());
-    auto facts = factsOf({attempt(request_kind::idempotent, attempt_end::failed, 0, 5, 401)});
+    CHECK(checkAnswers(makeFacts({late}), bounds).empty());
+    auto facts = makeFacts({attempt(request_kind::idempotent, attempt_end::failed, 0, 5, 401)});
     CHECK(checkAnswers(facts, bounds).size() == 1);
     facts.configurations = {{2, at(0), theKey}};
     CHECK(checkAnswers(facts, bounds).empty());
 }
 
-TEST_CASE("A flaw of a whole answer is no fault's due")
+TEST_CASE("No fault excuses a flaw in a complete answer")
 {
     auto mixed = attempt(request_kind::stream, attempt_end::answered, 0, 500, 200);
     mixed.flaw = "event 3 follows 1";
-    CHECK(checkAnswers(factsOf({mixed}, {}, {fault(disturbance_kind::replicas, 0, 500)}), bounds).size() == 1);
+    CHECK(checkAnswers(makeFacts({mixed}, {}, {fault(disturbance_kind::replicas, 0, 500)}), bounds).size() == 1);
 }
 
-TEST_CASE("What was refused as not run has not run before and does not run later")
+TEST_CASE("A request that was refused as not run has not run before and does not run later")
 {
     const auto refused = attempt(request_kind::idempotent, attempt_end::refused, 0, 100, 503);
-    CHECK(checkRefusals(factsOf({refused}, {event(10, "arrived")})).empty());
-    CHECK(checkRefusals(factsOf({refused}, {event(10, "ran")})).size() == 1);
-    CHECK(checkRefusals(factsOf({refused}, {event(5000, "ran")})).size() == 1);
-    CHECK(checkRefusals(factsOf({attempt(request_kind::idempotent, attempt_end::failed, 0, 100, 502)}, {event(10, "ran")})).empty());
+    CHECK(checkRefusals(makeFacts({refused}, {event(10, "arrived")})).empty());
+    CHECK(checkRefusals(makeFacts({refused}, {event(10, "ran")})).size() == 1);
+    CHECK(checkRefusals(makeFacts({refused}, {event(5000, "ran")})).size() == 1);
+    CHECK(checkRefusals(makeFacts({attempt(request_kind::idempotent, attempt_end::failed, 0, 100, 502)}, {event(10, "ran")})).empty());
 }
 
-TEST_CASE("Only what can be repeated runs twice, and only what a client sent runs")
+TEST_CASE("Only idempotent requests run twice, and only requests that a client sent run")
 {
     const std::vector<platform_event> twice = {event(10, "ran"), event(20, "ran", "i-2")};
-    CHECK(checkSingleRuns(factsOf({attempt(request_kind::non_idempotent, attempt_end::answered, 0, 9)}, twice)).size() == 1);
-    CHECK(checkSingleRuns(factsOf({attempt(request_kind::idempotent, attempt_end::answered, 0, 9)}, twice)).empty());
-    CHECK(checkSingleRuns(factsOf({}, {event(10, "ran")})).size() == 1);
+    CHECK(checkSingleRuns(makeFacts({attempt(request_kind::non_idempotent, attempt_end::answered, 0, 9)}, twice)).size() == 1);
+    CHECK(checkSingleRuns(makeFacts({attempt(request_kind::idempotent, attempt_end::answered, 0, 9)}, twice)).empty());
+    CHECK(checkSingleRuns(makeFacts({}, {event(10, "ran")})).size() == 1);
 }
 
-TEST_CASE("Nothing new reaches a leaving replica after the drain time, by daemons in touch")
+TEST_CASE("Undisturbed daemons send nothing new to a leaving replica after the drain time")
 {
     const auto served = attempt(request_kind::idempotent, attempt_end::answered, 0, 5000);
-    const auto told = event(0, "draining", "i-1", "");
-    CHECK(checkLeaving(factsOf({served}, {told, event(1900, "arrived")}), bounds).empty());
-    CHECK(checkLeaving(factsOf({served}, {told, event(2100, "arrived")}), bounds).size() == 1);
-    CHECK(checkLeaving(factsOf({served}, {told, event(2100, "arrived", "i-2")}), bounds).empty());
-    CHECK(checkLeaving(factsOf({served}, {told, event(1500, "started"), event(2100, "arrived")}), bounds).empty());
-    CHECK(checkLeaving(factsOf({served}, {event(-9000, "started"), told, event(2100, "arrived")}), bounds).size() == 1);
-    CHECK(checkLeaving(factsOf({served}, {told, event(2100, "arrived")}, {fault(disturbance_kind::store, 0, 500)}), bounds).empty());
+    const auto announcement = event(0, "draining", "i-1", "");
+    CHECK(checkDrainingReplicas(makeFacts({served}, {announcement, event(1900, "arrived")}), bounds).empty());
+    CHECK(checkDrainingReplicas(makeFacts({served}, {announcement, event(2100, "arrived")}), bounds).size() == 1);
+    CHECK(checkDrainingReplicas(makeFacts({served}, {announcement, event(2100, "arrived", "i-2")}), bounds).empty());
+    CHECK(checkDrainingReplicas(makeFacts({served}, {announcement, event(1500, "started"), event(2100, "arrived")}), bounds).empty());
+    CHECK(checkDrainingReplicas(makeFacts({served}, {event(-9000, "started"), announcement, event(2100, "arrived")}), bounds).size() == 1);
+    CHECK(
+        checkDrainingReplicas(makeFacts({served}, {announcement, event(2100, "arrived")}, {fault(disturbance_kind::store, 0, 500)}), bounds)
+            .empty());
 }
 
-TEST_CASE("A replica joins no other group while its head is open, and groups are whole")
+TEST_CASE("A replica joins no other group while the head of its group is open, and requests run in whole groups only")
 {
     auto joined = event(0, "joined", "i-1", "");
-    CHECK(checkGroups(factsOf({}, {joined})).empty());
+    CHECK(checkGroups(makeFacts({}, {joined})).empty());
     joined.isWhileOpen = true;
-    CHECK(checkGroups(factsOf({}, {joined})).size() == 1);
+    CHECK(checkGroups(makeFacts({}, {joined})).size() == 1);
     auto ran = event(0, "ran");
-    CHECK(checkGroups(factsOf({}, {ran})).empty());
+    CHECK(checkGroups(makeFacts({}, {ran})).empty());
     ran.isPartial = true;
-    CHECK(checkGroups(factsOf({}, {ran})).size() == 1);
+    CHECK(checkGroups(makeFacts({}, {ran})).size() == 1);
 }
 
-TEST_CASE("Repeats are held against the requests of their window, or of one before it")
+TEST_CASE("The retry budget is based on the requests of the same window, or of one before it")
 {
-    const auto withRepeats = [](int count, int requestsAt) {
+    const auto withRetries = [](int count, int requestsAt) {
         std::vector<attempt_fact> attempts;
         std::vector<platform_event> events;
         for (int number = 0; number < 100; ++number) {
@@ -188,21 +191,21 @@
             events.push_back(event(20000, "arrived", "i-1", std::to_string(number)));
             events.push_back(event(20001, "arrived", "i-2", std::to_string(number)));
         }
-        return factsOf(attempts, events);
+        return makeFacts(attempts, events);
     };
-    // 8 + 0.2 x 100 are allowed.
-    CHECK(checkRepeats(withRepeats(28, 19000), bounds).empty());
-    CHECK(checkRepeats(withRepeats(29, 19000), bounds).size() == 1);
-    CHECK(checkRepeats(withRepeats(28, 1000), bounds).empty());
-    CHECK(checkRepeats(withRepeats(9, -1000), bounds).size() == 1);
+    // 8 + 0.2 x 100 retries are allowed.
+    CHECK(checkRetries(withRetries(28, 19000), bounds).empty());
+    CHECK(checkRetries(withRetries(29, 19000), bounds).size() == 1);
+    CHECK(checkRetries(withRetries(28, 1000), bounds).empty());
+    CHECK(checkRetries(withRetries(9, -1000), bounds).size() == 1);
 }
 
-TEST_CASE("A withdrawn key stops in time, whatever is disturbed")
+TEST_CASE("A withdrawn key is refused in time, whatever is disturbed")
 {
     const auto check = [](int sent, const char *withdrawn) {
-        auto facts = factsOf({attempt(request_kind::idempotent, attempt_end::answered, sent, sent + 20)},
-                             {event(sent + 10, "ran")},
-                             {fault(disturbance_kind::store, 0, 9000)});
+        auto facts = makeFacts({attempt(request_kind::idempotent, attempt_end::answered, sent, sent + 20)},
+                               {event(sent + 10, "ran")},
+                               {fault(disturbance_kind::store, 0, 9000)});
         facts.configurations = {{2, at(0), withdrawn}};
         return checkWithdrawnKeys(facts, bounds).size();
     };
@@ -211,10 +214,10 @@
     CHECK(check(5100, "another") == 0);
 }
 
-TEST_CASE("A configuration is in force in time")
+TEST_CASE("A configuration is applied in time")
 {
     const auto check = [](const attempt_fact &seen, const std::vector<disturbance> &faults) {
-        auto facts = factsOf({seen}, {}, faults);
+        auto facts = makeFacts({seen}, {}, faults);
         facts.configurations = {{1, at(-9000), {}}, {2, at(0), {}}};
         return checkConfigurations(facts, bounds).size();
     };
@@ -226,22 +229,22 @@
     CHECK(check(probe(2, 2100, false), {fault(disturbance_kind::store, 0, 100, 0)}) == 0);
 }
 
-TEST_CASE("A configuration in force never reverts within one life of a daemon")
+TEST_CASE("A daemon never reverts to an earlier configuration while its process runs")
 {
     auto before = probe(3, 0, true);
     auto after = probe(2, 400, true);
-    CHECK(checkConfigurations(factsOf({before, after}), bounds).size() == 1);
+    CHECK(checkConfigurations(makeFacts({before, after}), bounds).size() == 1);
     after.sentAt = at(200);
-    CHECK(checkConfigurations(factsOf({before, after}), bounds).empty());
+    CHECK(checkConfigurations(makeFacts({before, after}), bounds).empty());
     after = probe(2, 400, true);
     after.incarnation = 1;
-    CHECK(checkConfigurations(factsOf({before, after}), bounds).empty());
+    CHECK(checkConfigurations(makeFacts({before, after}), bounds).empty());
 }
 
-TEST_CASE("A daemon ends inside its grace and only when it is told to")
+TEST_CASE("A daemon ends within its grace period and only when it is asked to stop")
 {
     const auto check = [](std::optional<instant> ended, bool isDisturbed) {
-        auto facts = factsOf({});
+        auto facts = makeFacts({});
         facts.stops = {{0, at(0), ended, isDisturbed}};
         return checkStops(facts, bounds).size();
     };
@@ -249,16 +252,16 @@
     CHECK(check(at(8100), false) == 1);
     CHECK(check(std::nullopt, false) == 1);
     CHECK(check(at(8100), true) == 0);
-    auto facts = factsOf({});
+    auto facts = makeFacts({});
     facts.crashes = {{0, at(5)}};
     CHECK(checkStops(facts, bounds).size() == 1);
 }
 
-TEST_CASE("A client that left frees its replica")
+TEST_CASE("A replica stops working on a request that its client has abandoned")
 {
-    const auto left = attempt(request_kind::stream, attempt_end::left, 0, 100);
+    const auto left = attempt(request_kind::stream, attempt_end::abandoned, 0, 100);
     const auto check = [&](std::vector<platform_event> events, std::vector<disturbance> faults = {}) {
-        return checkReleases(factsOf({left}, std::move(events), std::move(faults)), bounds).size();
+        return checkAbandonedRequests(makeFacts({left}, std::move(events), std::move(faults)), bounds).size();
     };
     CHECK(check({event(10, "ran"), event(700, "ended")}) == 0);
     CHECK(check({event(10, "ran"), event(900, "ended")}) == 1);
@@ -267,9 +270,9 @@
     CHECK(check({}) == 0);
 }
 
-TEST_CASE("After the faults all are ready within the recovery time")
+TEST_CASE("After the faults all daemons are ready within the recovery time")
 {
-    auto facts = factsOf({});
+    auto facts = makeFacts({});
     facts.faultsEndedAt = at(0);
     CHECK(checkRecovery(facts, bounds).size() == 1);
     facts.recoveredAt = at(11000);
@@ -278,9 +281,9 @@
     CHECK(checkRecovery(facts, bounds).size() == 1);
 }
 
-TEST_CASE("A daemon over its limits is told once")
+TEST_CASE("A daemon over its resource limits is reported once")
 {
-    auto facts = factsOf({});
+    auto facts = makeFacts({});
     facts.samples = {{at(0), 0, bounds.memoryKilobytes, bounds.descriptors, bounds.threads}};
     CHECK(checkResources(facts, bounds).empty());
     facts.samples.push_back({at(0), 0, 1, bounds.descriptors + 1, 1});
@@ -288,7 +291,7 @@
     CHECK(checkResources(facts, bounds).size() == 1);
 }
 
-TEST_CASE("A seed gives one schedule, with every kind of fault in a long one")
+TEST_CASE("A seed determines the schedule, and a long schedule has every kind of fault")
 {
     const schedule_size size{std::chrono::minutes(5), 4, 12};
     const auto plan = planFaults(7, size);
@@ -299,12 +302,12 @@
     std::set<fault_kind> kinds;
     for (const auto &fault : plan) {
         kinds.insert(fault.kind);
-        CHECK(fault.at + fault.lasts <= size.length - calmEnd);
+        CHECK(fault.at + fault.lasts <= size.length - recoveryLength);
     }
     CHECK(kinds.size() == faultKindCount);
 }
 
-TEST_CASE("Of the requests of told daemons a limit counts those in a window, and excuses a daemon that started again")
+TEST_CASE("A rate limit counts the requests in a window of the daemons that received it, and excuses a restarted daemon")
 {
     std::vector<attempt_fact> attempts;
     std::vector<platform_event> events{event(0, "limit_begins")};
@@ -324,16 +327,16 @@
         send(3000 + number, 1);
         send(3100 + number, 2);
     }
-    // Eleven are allowed; nobody told the third daemon.
+    // Eleven requests are allowed; daemon 3 has not received the limit.
     send(3200, 3);
-    CHECK(checkLimits(factsOf(attempts, events), bounds).size() == 1);
-    CHECK(checkLimits(factsOf(attempts, events, {fault(disturbance_kind::process, 500, 600, 2)}), bounds).empty());
+    CHECK(checkLimits(makeFacts(attempts, events), bounds).size() == 1);
+    CHECK(checkLimits(makeFacts(attempts, events, {fault(disturbance_kind::process, 500, 600, 2)}), bounds).empty());
     auto ended = events;
     ended.insert(ended.begin() + 1, event(2000, "limit_ends"));
-    CHECK(checkLimits(factsOf(attempts, ended), bounds).empty());
+    CHECK(checkLimits(makeFacts(attempts, ended), bounds).empty());
 }
 
-TEST_CASE("Two requests may reach a replica that rests, from the daemon that it asked")
+TEST_CASE("A daemon may send two requests to a replica that asked it for a backoff")
 {
     std::vector<attempt_fact> attempts;
     std::vector<platform_event> events;
@@ -343,15 +346,15 @@
         attempts.push_back(fact);
         events.push_back(event(time, "arrived", "i-1", fact.id.value()));
     }
-    auto told = event(5, "told_rest", "i-1", "0");
-    told.value = 3;
-    events.push_back(told);
-    CHECK(checkRests(factsOf(attempts, events), bounds).size() == 1);
+    auto announcement = event(5, "told_rest", "i-1", "0");
+    announcement.value = 3;
+    events.push_back(announcement);
+    CHECK(checkBackoffs(makeFacts(attempts, events), bounds).size() == 1);
     attempts.back().daemon = 1;
-    CHECK(checkRests(factsOf(attempts, events), bounds).empty());
+    CHECK(checkBackoffs(makeFacts(attempts, events), bounds).empty());
 }
 
-TEST_CASE("A daemon that was told of a departure sends nothing there that came later, until a new life")
+TEST_CASE("A daemon that learned that a replica leaves sends it no later request, until the replica restarts")
 {
     std::vector<attempt_fact> attempts;
     std::vector<platform_event> events;
@@ -362,7 +365,7 @@
         events.push_back(event(time, "arrived", "i-1", fact.id.value()));
     }
     events.push_back(event(5, "told_leaving", "i-1", "0"));
-    CHECK(checkToldLeaving(factsOf(attempts, events), bounds).size() == 1);
+    CHECK(checkLeaveNotices(makeFacts(attempts, events), bounds).size() == 1);
     events.push_back(event(2050, "started"));
-    CHECK(checkToldLeaving(factsOf(attempts, events), bounds).empty());
+    CHECK(checkLeaveNotices(makeFacts(attempts, events), bounds).empty());
 }
