--- a/Tests/PlatformStandIn/testReplicaModel.cpp
+++ b/Tests/PlatformStandIn/testReplicaModel.cpp
@@ -21,19 +21,19 @@
 constexpr int outdated = 412;
 constexpr int unavailable = 503;
 
-/// Four replicas with engines, and models of two and three replicas.
-replica_world fourReplicas()
+/// Returns four replicas with engines, and models with groups of two and three replicas.
+replica_simulation fourReplicas()
 {
-    replica_world world;
-    world.sizes = {{"pair", 2}, {"triple", 3}};
+    replica_simulation simulation;
+    simulation.sizes = {{"pair", 2}, {"triple", 3}};
     for (const auto *id : {"a", "b", "c", "d"}) {
         stand_in_replica replica;
         replica.id = id;
         replica.slots = 2;
         replica.hasEngine = true;
-        world.replicas.push_back(replica);
+        simulation.replicas.push_back(replica);
     }
-    return world;
+    return simulation;
 }
 
 Json::Value order(const char *operation, const std::string &group, std::uint64_t epoch)
@@ -55,206 +55,207 @@
     return json;
 }
 
-int give(replica_world &world, const std::string &replica, const Json::Value &json, instant now)
+int giveOrder(replica_simulation &simulation, const std::string &replica, const Json::Value &json, instant now)
 {
-    return takeOrder(world, *findReplica(world, replica), json, now);
+    return executeOrder(simulation, *findReplica(simulation, replica), json, now);
 }
 
-member_state stateOf(replica_world &world, const std::string &replica)
+member_state stateOf(replica_simulation &simulation, const std::string &replica)
 {
-    return findReplica(world, replica)->membership->state;
+    return findReplica(simulation, replica)->membership->state;
 }
 
-/// The pair of a and b as a group that serves; the present is a second after the start.
-replica_world openPair()
+/// Returns the four replicas with a and b as a serving group, a second after the start.
+replica_simulation openPairGroup()
 {
-    auto world = fourReplicas();
-    give(world, "a", joinOrder("g", 1, {"a", "b"}), start);
-    give(world, "b", joinOrder("g", 1, {"a", "b"}), start);
-    give(world, "a", order(names::openOperation, "g", 1), start + duration(500));
-    settle(world, start + duration(1000));
-    return world;
+    auto simulation = fourReplicas();
+    giveOrder(simulation, "a", joinOrder("g", 1, {"a", "b"}), start);
+    giveOrder(simulation, "b", joinOrder("g", 1, {"a", "b"}), start);
+    giveOrder(simulation, "a", order(names::openOperation, "g", 1), start + duration(500));
+    advance(simulation, start + duration(1000));
+    return simulation;
 }
 
 const instant present = start + duration(1000);
 
-const Json::Value *eventOf(const replica_world &world, const std::string &what)
+const Json::Value *findEvent(const replica_simulation &simulation, const std::string &what)
 {
-    const auto found = std::find_if(world.events.rbegin(), world.events.rend(), [&](const auto &event) { return event.what == what; });
-    return found == world.events.rend() ? nullptr : &found->fields;
+    const auto found
+        = std::find_if(simulation.events.rbegin(), simulation.events.rend(), [&](const auto &event) { return event.what == what; });
+    return found == simulation.events.rend() ? nullptr : &found->fields;
 }
 
 } // namespace
 
-TEST_CASE("A place is ready after its load, and a model that the host holds is loaded sooner")
+TEST_CASE("A member is ready after its load, which is shorter if the host holds the model")
 {
-    auto world = fourReplicas();
-    CHECK(give(world, "a", joinOrder("g", 1, {"a", "b"}), start) == begun);
-    CHECK(give(world, "a", order(names::openOperation, "g", 1), start + duration(299)) == conflict);
-    settle(world, start + duration(300));
-    CHECK(stateOf(world, "a") == member_state::ready);
-    CHECK(findReplica(world, "a")->staged == "pair");
-    findReplica(world, "c")->staged = "pair";
-    give(world, "c", joinOrder("h", 2, {"c", "d"}), start);
-    settle(world, start + duration(100));
-    CHECK(stateOf(world, "c") == member_state::ready);
+    auto simulation = fourReplicas();
+    CHECK(giveOrder(simulation, "a", joinOrder("g", 1, {"a", "b"}), start) == begun);
+    CHECK(giveOrder(simulation, "a", order(names::openOperation, "g", 1), start + duration(299)) == conflict);
+    advance(simulation, start + duration(300));
+    CHECK(stateOf(simulation, "a") == member_state::ready);
+    CHECK(findReplica(simulation, "a")->staged == "pair");
+    findReplica(simulation, "c")->staged = "pair";
+    giveOrder(simulation, "c", joinOrder("h", 2, {"c", "d"}), start);
+    advance(simulation, start + duration(100));
+    CHECK(stateOf(simulation, "c") == member_state::ready);
 }
 
-TEST_CASE("A join with an old epoch, other members or another count of orders is refused")
+TEST_CASE("A join with an old epoch, different members or an unexpected count of orders is refused")
 {
-    auto world = fourReplicas();
+    auto simulation = fourReplicas();
     auto counted = joinOrder("g", 5, {"a", "b"});
     counted[names::expected] = 1;
-    CHECK(give(world, "a", counted, start) == conflict);
+    CHECK(giveOrder(simulation, "a", counted, start) == conflict);
     counted[names::expected] = 0;
-    CHECK(give(world, "a", counted, start) == begun);
-    CHECK(give(world, "a", counted, start) == conflict);
-    CHECK(give(world, "a", joinOrder("g", 5, {"a", "b"}), start) == done);
-    CHECK(give(world, "a", joinOrder("g", 5, {"a", "c"}), start) == outdated);
-    CHECK(give(world, "a", joinOrder("h", 4, {"a", "b"}), start) == outdated);
-    CHECK(findReplica(world, "a")->orders == 1);
+    CHECK(giveOrder(simulation, "a", counted, start) == begun);
+    CHECK(giveOrder(simulation, "a", counted, start) == conflict);
+    CHECK(giveOrder(simulation, "a", joinOrder("g", 5, {"a", "b"}), start) == done);
+    CHECK(giveOrder(simulation, "a", joinOrder("g", 5, {"a", "c"}), start) == outdated);
+    CHECK(giveOrder(simulation, "a", joinOrder("h", 4, {"a", "b"}), start) == outdated);
+    CHECK(findReplica(simulation, "a")->orders == 1);
 }
 
-TEST_CASE("Only a head that is ready opens, and serves after the time of forming")
+TEST_CASE("Only a head that is ready opens, and it serves after the forming time")
 {
-    auto world = openPair();
-    CHECK(stateOf(world, "a") == member_state::open);
-    CHECK((*eventOf(world, "opened"))["partial"] == false);
-    CHECK(give(world, "b", order(names::openOperation, "g", 1), present) == conflict);
-    CHECK(give(world, "a", order(names::openOperation, "other", 1), present) == conflict);
-    CHECK(admissionStatus(*findReplica(world, "a"), "pair") == done);
-    CHECK(admissionStatus(*findReplica(world, "a"), "triple") == names::misdirected);
-    CHECK(admissionStatus(*findReplica(world, "b"), "pair") == names::misdirected);
-    CHECK(admissionStatus(*findReplica(world, "c"), "pair") == names::misdirected);
+    auto simulation = openPairGroup();
+    CHECK(stateOf(simulation, "a") == member_state::open);
+    CHECK((*findEvent(simulation, "opened"))["partial"] == false);
+    CHECK(giveOrder(simulation, "b", order(names::openOperation, "g", 1), present) == conflict);
+    CHECK(giveOrder(simulation, "a", order(names::openOperation, "other", 1), present) == conflict);
+    CHECK(admissionStatus(*findReplica(simulation, "a"), "pair") == done);
+    CHECK(admissionStatus(*findReplica(simulation, "a"), "triple") == names::misdirected);
+    CHECK(admissionStatus(*findReplica(simulation, "b"), "pair") == names::misdirected);
+    CHECK(admissionStatus(*findReplica(simulation, "c"), "pair") == names::misdirected);
 }
 
-TEST_CASE("A group that opens without a member that was ready is partial")
+TEST_CASE("A group that opens while a member has never been ready is partial")
 {
-    auto world = fourReplicas();
-    give(world, "a", joinOrder("g", 1, {"a", "b"}), start);
-    give(world, "a", order(names::openOperation, "g", 1), start + duration(400));
-    settle(world, present);
-    CHECK((*eventOf(world, "opened"))["partial"] == true);
+    auto simulation = fourReplicas();
+    giveOrder(simulation, "a", joinOrder("g", 1, {"a", "b"}), start);
+    giveOrder(simulation, "a", order(names::openOperation, "g", 1), start + duration(400));
+    advance(simulation, present);
+    CHECK((*findEvent(simulation, "opened"))["partial"] == true);
 }
 
-TEST_CASE("Closing lets the head finish, or cuts what it runs")
+TEST_CASE("Closing lets the head finish its requests, or cuts them off")
 {
-    auto world = openPair();
-    auto &head = *findReplica(world, "a");
+    auto simulation = openPairGroup();
+    auto &head = *findReplica(simulation, "a");
     const auto serving = head.serving;
     head.active = 1;
     auto close = order(names::closeOperation, "g", 1);
     close[names::method] = names::finishMethod;
-    CHECK(give(world, "a", close, present) == begun);
-    CHECK(stateOf(world, "a") == member_state::closing);
+    CHECK(giveOrder(simulation, "a", close, present) == begun);
+    CHECK(stateOf(simulation, "a") == member_state::closing);
     CHECK(admissionStatus(head, "pair") == unavailable);
-    CHECK(standingOf(head, serving) == request_standing::moves);
+    CHECK(requestState(head, serving) == request_state::progressing);
     close[names::method] = names::cutMethod;
-    CHECK(give(world, "a", close, present) == begun);
-    CHECK(stateOf(world, "a") == member_state::ready);
-    CHECK(standingOf(head, serving) == request_standing::cut);
+    CHECK(giveOrder(simulation, "a", close, present) == begun);
+    CHECK(stateOf(simulation, "a") == member_state::ready);
+    CHECK(requestState(head, serving) == request_state::cut);
 }
 
-TEST_CASE("A group that loses a member stands still, then breaks")
+TEST_CASE("A group that loses a member stalls, then breaks")
 {
-    auto world = openPair();
-    auto &head = *findReplica(world, "a");
+    auto simulation = openPairGroup();
+    auto &head = *findReplica(simulation, "a");
     const auto serving = head.serving;
-    SECTION("by its end")
+    SECTION("when the member terminates")
     {
-        endIncarnation(world, *findReplica(world, "b"));
+        endIncarnation(simulation, *findReplica(simulation, "b"));
     }
-    SECTION("by a cut")
+    SECTION("when the member is cut off")
     {
-        findReplica(world, "b")->isDark = true;
+        findReplica(simulation, "b")->isCutOff = true;
     }
-    SECTION("by its leaving")
+    SECTION("when the member leaves")
     {
-        give(world, "b", order(names::leaveOperation, "g", 1), present);
+        giveOrder(simulation, "b", order(names::leaveOperation, "g", 1), present);
     }
-    settle(world, present);
-    CHECK(standingOf(head, serving) == request_standing::stalls);
+    advance(simulation, present);
+    CHECK(requestState(head, serving) == request_state::stalled);
     CHECK(admissionStatus(head, "pair") == done);
-    settle(world, present + duration(1499));
-    CHECK(stateOf(world, "a") == member_state::open);
-    settle(world, present + duration(1500));
-    CHECK(stateOf(world, "a") == member_state::broken);
-    CHECK(standingOf(head, serving) == request_standing::broken);
+    advance(simulation, present + duration(1499));
+    CHECK(stateOf(simulation, "a") == member_state::open);
+    advance(simulation, present + duration(1500));
+    CHECK(stateOf(simulation, "a") == member_state::broken);
+    CHECK(requestState(head, serving) == request_state::broken);
     CHECK(admissionStatus(head, "pair") == unavailable);
-    CHECK(eventOf(world, "broken") != nullptr);
+    CHECK(findEvent(simulation, "broken") != nullptr);
 }
 
-TEST_CASE("A member that is heard again lets the group go on")
+TEST_CASE("A group goes on once its lost member is reachable again")
 {
-    auto world = openPair();
-    findReplica(world, "b")->isDark = true;
-    settle(world, present);
-    findReplica(world, "b")->isDark = false;
-    settle(world, present + duration(1000));
-    CHECK(standingOf(*findReplica(world, "a"), findReplica(world, "a")->serving) == request_standing::moves);
+    auto simulation = openPairGroup();
+    findReplica(simulation, "b")->isCutOff = true;
+    advance(simulation, present);
+    findReplica(simulation, "b")->isCutOff = false;
+    advance(simulation, present + duration(1000));
+    CHECK(requestState(*findReplica(simulation, "a"), findReplica(simulation, "a")->serving) == request_state::progressing);
 }
 
-TEST_CASE("A join of another group is told as one while the old group is in use")
+TEST_CASE("The event of a join records whether the old group is in use")
 {
-    auto world = openPair();
+    auto simulation = openPairGroup();
     bool isInUse = true;
     SECTION("while its head is open")
     {
     }
     SECTION("while its head is closing")
     {
-        findReplica(world, "a")->active = 1;
-        give(world, "a", order(names::closeOperation, "g", 1), present);
+        findReplica(simulation, "a")->active = 1;
+        giveOrder(simulation, "a", order(names::closeOperation, "g", 1), present);
     }
-    SECTION("while it stands still")
+    SECTION("while it is stalled")
     {
-        findReplica(world, "a")->isDark = true;
-        settle(world, present);
+        findReplica(simulation, "a")->isCutOff = true;
+        advance(simulation, present);
     }
-    SECTION("but not once it is closed")
+    SECTION("not once it is closed")
     {
-        give(world, "a", order(names::closeOperation, "g", 1), present);
+        giveOrder(simulation, "a", order(names::closeOperation, "g", 1), present);
         isInUse = false;
     }
-    SECTION("nor once it is broken")
+    SECTION("not once it is broken")
     {
-        findReplica(world, "a")->isDark = true;
-        settle(world, present);
-        settle(world, present + duration(1500));
+        findReplica(simulation, "a")->isCutOff = true;
+        advance(simulation, present);
+        advance(simulation, present + duration(1500));
         isInUse = false;
     }
-    SECTION("nor once its head has gone")
+    SECTION("not once its head has terminated")
     {
-        endIncarnation(world, *findReplica(world, "a"));
+        endIncarnation(simulation, *findReplica(simulation, "a"));
         isInUse = false;
     }
-    CHECK(give(world, "b", joinOrder("h", 2, {"b", "c"}), present) == begun);
-    CHECK((*eventOf(world, "joined"))["while_open"] == isInUse);
+    CHECK(giveOrder(simulation, "b", joinOrder("h", 2, {"b", "c"}), present) == begun);
+    CHECK((*findEvent(simulation, "joined"))["while_open"] == isInUse);
 }
 
-TEST_CASE("A replica's place is told in its entry")
+TEST_CASE("A replica's entry contains its membership")
 {
-    auto world = openPair();
-    const auto group = entryOf(*findReplica(world, "b"))[names::group];
+    auto simulation = openPairGroup();
+    const auto group = entryOf(*findReplica(simulation, "b"))[names::group];
     CHECK(group[names::name] == "g");
     CHECK(jsonNumber(group, names::epoch) == 1);
     CHECK(group[names::rank] == 1);
     CHECK(group[names::state] == names::ready);
-    give(world, "b", order(names::leaveOperation, "g", 1), present);
-    CHECK_FALSE(entryOf(*findReplica(world, "b")).isMember(names::group));
-    CHECK(jsonNumber(reportOf(*findReplica(world, "b")), names::sequence) == 2);
+    giveOrder(simulation, "b", order(names::leaveOperation, "g", 1), present);
+    CHECK_FALSE(entryOf(*findReplica(simulation, "b")).isMember(names::group));
+    CHECK(jsonNumber(reportOf(*findReplica(simulation, "b")), names::sequence) == 2);
 }
 
-TEST_CASE("Weights that are put onto a host are there after the load")
+TEST_CASE("Weights that are staged on a host are available after the load")
 {
-    auto world = fourReplicas();
+    auto simulation = fourReplicas();
     Json::Value json;
     json[names::operation] = names::stageOperation;
     json[names::model] = "pair";
-    CHECK(give(world, "a", json, start) == begun);
-    CHECK(give(world, "a", json, start) == done);
-    CHECK(findReplica(world, "a")->staged.empty());
-    settle(world, start + duration(300));
-    CHECK(findReplica(world, "a")->staged == "pair");
-    CHECK(give(world, "a", json, start + duration(300)) == done);
+    CHECK(giveOrder(simulation, "a", json, start) == begun);
+    CHECK(giveOrder(simulation, "a", json, start) == done);
+    CHECK(findReplica(simulation, "a")->staged.empty());
+    advance(simulation, start + duration(300));
+    CHECK(findReplica(simulation, "a")->staged == "pair");
+    CHECK(giveOrder(simulation, "a", json, start + duration(300)) == done);
 }
--- a/Tests/PlatformStandIn/testStoreModel.cpp
+++ b/Tests/PlatformStandIn/testStoreModel.cpp
@@ -37,7 +37,7 @@
 
 } // namespace
 
-TEST_CASE("A write under a condition takes effect once, and a conflict tells the entries as they are")
+TEST_CASE("A conditional write takes effect once, and a conflict returns the current entries")
 {
     store_model store;
     CHECK(jsonNumber(transact(store, writeOf("my/leader", "YQ==", 0), false).body, names::revision) == 1);
@@ -51,7 +51,7 @@
     CHECK(jsonNumber(item, names::revision) == 2);
 }
 
-TEST_CASE("A transaction does everything or nothing")
+TEST_CASE("A transaction is applied completely or not at all")
 {
     store_model store;
     auto both = writeOf("a", "YQ==");
@@ -61,7 +61,7 @@
     CHECK(store.keys.lastRevision == 0);
 }
 
-TEST_CASE("The keys of the operator and the replicas are theirs alone")
+TEST_CASE("Only the operator and the replicas may write their keys")
 {
     store_model store;
     CHECK(transact(store, writeOf("op/config", ""), false).status == forbidden);
@@ -69,7 +69,7 @@
     CHECK(transact(store, writeOf("servers/i-1", ""), true).status == 200);
 }
 
-TEST_CASE("A key goes with its lease, which runs from the last renewal")
+TEST_CASE("A key is removed with its lease, which expires after its time from the last renewal")
 {
     store_model store;
     Json::Value call;
@@ -85,7 +85,7 @@
     CHECK(readChanges(store, "my/", 1).body[names::events][0][names::removed] == true);
 }
 
-TEST_CASE("An ended lease takes its keys at once")
+TEST_CASE("Ending a lease removes its keys at once")
 {
     store_model store;
     const lease_number lease(jsonNumber(grantLease(store, Json::Value(Json::objectValue), now).body, names::lease));
@@ -94,7 +94,7 @@
     CHECK(readKey(store, "my/leader").status == notFound);
 }
 
-TEST_CASE("A watch tells each change under its prefix once, and an empty value is no removal")
+TEST_CASE("A watch returns each change under its prefix once, and an empty value is not a removal")
 {
     store_model store;
     transact(store, writeOf("servers/a", "YQ=="), true);
@@ -108,18 +108,18 @@
     CHECK(readChanges(store, "servers/", 3).body[names::events].empty());
 }
 
-TEST_CASE("A watch from before the forgotten history is told so, one from its end is not")
+TEST_CASE("A watch from within the discarded history is refused, one from its end is not")
 {
     store_model store;
     transact(store, writeOf("servers/a", "YQ=="), true);
     transact(store, writeOf("servers/a", "Yg=="), true);
-    forgetHistory(store);
+    discardHistory(store);
     CHECK(readChanges(store, "servers/", 1).status == historyGone);
     CHECK(readChanges(store, "servers/", 2).status == 200);
     CHECK(readKey(store, "servers/a").status == 200);
 }
 
-TEST_CASE("A range comes in pages that leave nothing out")
+TEST_CASE("The pages of a range contain all keys")
 {
     constexpr int keys = 700;
     store_model store;
--- a/Tests/Processes/prepare.sh
+++ b/Tests/Processes/prepare.sh
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-# What the tests with real processes share. Sourced with: build folder, port base.
+# Shared setup and helpers of the tests with real processes. Sourced with: build folder, port base.
 set -euo pipefail
 build=$1
 port_base=$2
@@ -24,7 +24,7 @@
 }
 trap finish EXIT
 
-# expect WHAT ACTUAL EXPECTED-PART
+# expect TITLE ACTUAL EXPECTED-PART: fails the test unless ACTUAL contains EXPECTED-PART.
 expect() {
     case $2 in
     *"$3"*) passed=$((passed + 1)) ;;
@@ -32,7 +32,7 @@
     esac
 }
 
-# refuse WHAT ACTUAL FORBIDDEN-PART
+# refuse TITLE ACTUAL FORBIDDEN-PART: fails the test if ACTUAL contains FORBIDDEN-PART.
 refuse() {
     case $2 in
     *"$3"*) fail "$1: did not expect \"$3\" in: $2" ;;
@@ -40,14 +40,14 @@
     esac
 }
 
-# fault ADDRESS JSON: sets a stand-in's faults.
+# fault ADDRESS JSON: sets the faults of the stand-in at ADDRESS.
 fault() { curl -sf -X POST -d "$2" "http://$1/faults" >/dev/null; }
 
-# text_of ANSWER: the text of a whole answer. stream_text: the text of a stream of events on standard input.
+# text_of ANSWER: prints the text of a complete answer. stream_text: prints the text of a stream of events on standard input.
 text_of() { sed -n 's/.*"content":"\([^"]*\)".*/\1/p' <<<"$1"; }
 stream_text() { sed -n 's/^data: .*"content":"\([^"]*\)".*/\1/p' | tr -d '\n'; }
 
-# start_small_cluster: three daemons, two groups of four in two fabric domains, one standby, one plain service.
+# start_small_cluster: starts three daemons, two groups of four engines in two fabric domains, a standby and a plain service.
 start_small_cluster() {
     start_platform
     local number
@@ -62,7 +62,7 @@
     done
 }
 
-# coordinator [ASKED [GONE]]: the number of the daemon that coordinates, as daemon ASKED sees it, not counting daemon GONE.
+# coordinator [ASKED [GONE]]: prints the number of the coordinating daemon according to daemon ASKED (default 1), leaving out daemon GONE.
 coordinator() {
     vetchpost status --daemon "$(operators_of "${1:-1}")" | grep -v "^daemon-${2:-none} " | sed -n 's/^daemon-\([0-9]\).*alive .*coordinates.*/\1/p' | head -n 1
 }
--- a/Tests/Processes/testDaemonLoss.sh
+++ b/Tests/Processes/testDaemonLoss.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: Apache-2.0
-# Daemons stop as planned, are killed, and pause.
+# Daemons stop gracefully, are killed, or are paused.
 . "$(dirname "$0")/prepare.sh"
 start_small_cluster
 
-# SIGTERM in the middle of streams: not ready at once, and nothing is cut off.
+# SIGTERM during streams: the daemon reports not ready at once, and no stream is cut off.
 tokens=120
 whole=$(text_of "$(chat 1 "the long one")")
 stopped=$(coordinator)
@@ -20,34 +20,34 @@
     wait "${streams[stream]}" || fail "stream $stream"
     expect "stream $stream was not cut off" "=$(stream_text <"$work/stream-$stream")=" "=$whole="
 done
-wait "${pids[daemon-$stopped]}" || fail "the stopped daemon ended with an error"
+wait "${pids[daemon-$stopped]}" || fail "the stopped daemon exited with an error"
 passed=$((passed + 1))
 unset "pids[daemon-$stopped]"
 tokens=24
 
-# Another daemon takes over coordination, and the groups go on serving all the time.
+# Another daemon takes over coordination, and the groups keep serving meanwhile.
 other=$((stopped % 3 + 1))
 third=$((other % 3 + 1))
-expect "groups go on without a coordinator" "$(serving_groups "$other")" 2
+expect "groups keep serving without a coordinator" "$(serving_groups "$other")" 2
 wait_for 20 "another coordinator" has_coordinator "$other" "$stopped"
-expect "requests go on" "$(chat "$other" "after the stop")" '"finish_reason":"stop"'
+expect "requests are served after the stop" "$(chat "$other" "after the stop")" '"finish_reason":"stop"'
 
-# kill -9 of the coordinator: one of those left serves and takes over.
+# The coordinator is killed: a remaining daemon serves and takes over coordination.
 start_daemon "$stopped" ikeja "$other"
-# The first request that it takes comes before it has heard of any group.
+# The first request arrives before the restarted daemon knows any group.
 until answer=$(chat "$stopped" "just after the start"); do sleep 0.02; done
-expect "a daemon that has just started waits for what it lacks" "$answer" '"finish_reason":"stop"'
+expect "a daemon that has just started holds a request until it knows the groups" "$answer" '"finish_reason":"stop"'
 wait_for 20 "ready daemon $stopped" is_ready "$stopped"
 wait_for 20 "coordinator" has_coordinator "$stopped"
 killed=$(coordinator "$stopped")
 kill -9 "${pids[daemon-$killed]}"
 unset "pids[daemon-$killed]"
 left=$((killed % 3 + 1))
-expect "requests go on after kill -9" "$(chat "$left" "after the kill")" '"finish_reason":"stop"'
+expect "requests are served after kill -9" "$(chat "$left" "after the kill")" '"finish_reason":"stop"'
 wait_for 30 "coordinator after kill -9" has_coordinator "$left" "$killed"
-expect "the groups were not formed anew" "=$(serving_groups "$left")=" "=2="
+expect "the groups still serve" "=$(serving_groups "$left")=" "=2="
 
-# A paused coordinator that wakes with a lapsed lease gives up, and does no harm.
+# A paused coordinator whose lease has expired stops coordinating when it resumes, and does no harm.
 paused=$(coordinator "$left" "$killed")
 awake=$((6 - paused - killed))
 kill -STOP "${pids[daemon-$paused]}"
@@ -56,4 +56,4 @@
 sleep 3
 status=$(vetchpost status --daemon "$(operators_of "$awake")")
 expect "one coordinator after the pause" "=$(grep -v "^daemon-$killed " <<<"$status" | grep -c coordinates)=" "=1="
-expect "the woken daemon serves" "$(chat "$paused" "after the pause")" '"finish_reason":"stop"'
+expect "the resumed daemon serves" "$(chat "$paused" "after the pause")" '"finish_reason":"stop"'
--- a/Tests/Processes/testEngineLoss.sh
+++ b/Tests/Processes/testEngineLoss.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: Apache-2.0
-# Engines die, freeze, leave and come back; answers stay whole.
+# Engines die, freeze, resume and leave; answers stay complete.
 . "$(dirname "$0")/prepare.sh"
 start_small_cluster
 
-# An engine of each group dies in the middle of streams: every stream ends whole, with the text of an undisturbed one.
+# The head of a group dies during streams: every stream completes, with the text of an undisturbed one.
 tokens=60
 whole=$(text_of "$(chat 1 "the long one")")
 for stream in 1 2 3 4 5 6; do
@@ -16,11 +16,11 @@
 kill -9 "${pids[$leader]}"
 for stream in 1 2 3 4 5 6; do
     wait "${streams[stream]}" || fail "stream $stream"
-    expect "stream $stream is whole" "$(tail -n 3 "$work/stream-$stream")" '[DONE]'
+    expect "stream $stream is complete" "$(tail -n 3 "$work/stream-$stream")" '[DONE]'
     expect "stream $stream has the right text" "=$(stream_text <"$work/stream-$stream")=" "=$whole="
 done
 tokens=24
-# The broken group takes the standby of its fabric domain, if its domain has one, and serves again.
+# If the fabric domain of the broken group has the standby, the group takes it and serves again.
 case $leader in
 engine-[1-4] | engine-9)
     standby_taken() { vetchpost why '' --daemon "$(operators_of 1)" | grep -q use_standby; }
@@ -32,9 +32,9 @@
     wait_for 20 "group out of service" has_serving 1 1
     ;;
 esac
-expect "requests go on" "$(chat 2 "after the loss")" '"finish_reason":"stop"'
+expect "requests are served after the loss" "$(chat 2 "after the loss")" '"finish_reason":"stop"'
 
-# A frozen engine is out of routing within a few seconds, and requests that meet it go on elsewhere.
+# A frozen engine is taken out of routing within a few seconds, and requests sent to it continue elsewhere.
 frozen=$(vetchpost groups --json --daemon "$(operators_of 1)" | grep -o '"members":\["engine-[0-9]*","engine-[0-9]*' | tail -n 1 | grep -o 'engine-[0-9]*$')
 kill -STOP "${pids[$frozen]}"
 sleep 4
@@ -45,7 +45,7 @@
 wait_for 30 "group back in service" bash -c "! $build/Utilities/vetchpost/vetchpost groups --daemon $(operators_of 2) | grep -q '$frozen: to answer'"
 passed=$((passed + 1))
 
-# A leaving engine gets no new work within a few seconds, by its own word, although the list lags.
+# An engine that reports leaving gets no new work after a few seconds, although the instance list lags.
 serving=$(vetchpost groups --json --daemon "$(operators_of 1)" | tr '{' '\n' | grep '"standing":"serving"' | head -n 1)
 leaving=$(grep -o '"members":\["engine-[0-9]*' <<<"$serving" | grep -o 'engine-[0-9]*$')
 fault "$(engine_address "${leaving#engine-}")" '{"leaving":true}'
--- a/Tests/Processes/testPath.sh
+++ b/Tests/Processes/testPath.sh
@@ -1,26 +1,26 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: Apache-2.0
-# The whole path, and what is refused on it.
+# Requests through the whole serving path, and the requests that are refused on it.
 . "$(dirname "$0")/prepare.sh"
 start_small_cluster
 
 answer=$(chat 1 "first question")
-expect "a whole answer" "$answer" '"finish_reason":"stop"'
+expect "a complete answer" "$answer" '"finish_reason":"stop"'
 streamed=$(chat_stream 2 "first question")
 expect "a streamed answer ends with its marker" "$streamed" 'data: [DONE]'
-expect "both ways give the same text" "$(stream_text <<<"$streamed")" "$(text_of "$answer")"
+expect "plain and streamed answers have the same text" "$(stream_text <<<"$streamed")" "$(text_of "$answer")"
 models=$(curl -s -H "Authorization: Bearer $okonjo_key" "http://$(callers_of 3)/v1/models")
 expect "the models of an organisation" "$models" filing-assistant
 expect "a work order" "$(work_order 1 brick-1)" '"work_order":1'
 record=$(curl -s -H "Authorization: Bearer $refractarios_key" "http://$(callers_of 2)/services/maintenance/parts/7?size=2")
-expect "a look-up" "$record" '"path":"/parts/7"'
+expect "a request for a record" "$record" '"path":"/parts/7"'
 
-# An organisation cannot reach another's deployment, nor learn that it exists.
+# An organisation can neither use the deployment of another organisation nor find out that it exists.
 other=$(curl -s -X POST -H "Authorization: Bearer $okonjo_key" -d '{}' "http://$(callers_of 1)/services/maintenance/orders")
 expect "another organisation's service" "$other" '"kind":"unknown_model"'
 refuse "nothing was booked" "$(curl -s "http://$(service_address 1)/booked")" '""'
 
-# Bad input: a clear error of the closed list each time.
+# Each invalid input gets a clear error from the fixed list of kinds.
 url=http://$(callers_of 1)/v1/chat/completions
 key="Authorization: Bearer $okonjo_key"
 expect "no key" "$(curl -s "$url" -d '{}')" '"kind":"unauthorised"'
@@ -41,7 +41,7 @@
 peer="Authorization: Bearer $VETCHPOST_PEER_TOKEN"
 expect "a malformed JSON-RPC call" "$(curl -s -X POST -H "$peer" -d '{"jsonrpc":' "http://$(peers_of 1)/rpc")" '"error"'
 expect "an unknown method" "$(curl -s -X POST -H "$peer" -d '{"jsonrpc":"2.0","id":1,"method":"x","params":{}}' "http://$(peers_of 1)/rpc")" '"error"'
-expect "an exchange of nonsense" "$(curl -s -X POST -H "$peer" -d '{"jsonrpc":"2.0","id":1,"method":"exchange","params":{"digest":[[7,[]],{"a":1}]}}' "http://$(peers_of 1)/rpc")" '"result"'
+expect "an exchange with invalid parameters" "$(curl -s -X POST -H "$peer" -d '{"jsonrpc":"2.0","id":1,"method":"exchange","params":{"digest":[[7,[]],{"a":1}]}}' "http://$(peers_of 1)/rpc")" '"result"'
 expect "a bad configuration" "$(curl -s -X PUT -H "Authorization: Bearer $VETCHPOST_OPERATOR_TOKEN" -H 'If-Match: "1"' -H 'X-Edit-Id: bad' -d 'deployments: {x: {template: none}}' "http://$(operators_of 1)/v1/configuration")" '"kind":"invalid_configuration"'
 expect "each refusal is counted" "$(curl -s "http://$(operators_of 1)/metrics")" 'vetchpost_refusals_total{kind="body_too_large"} 1'
-expect "the daemon is well" "$(chat 1 "after all that")" '"finish_reason":"stop"'
+expect "the daemon still serves" "$(chat 1 "after all that")" '"finish_reason":"stop"'
--- a/Tests/Processes/testSoak.sh
+++ b/Tests/Processes/testSoak.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: Apache-2.0
-# Nine daemons in three data centres under load, while daemons and engines are killed in turn: nothing is lost, nothing is doubled.
+# Nine daemons in three data centres serve under load while daemons and engines are killed in turn: no request is lost or runs twice.
 . "$(dirname "$0")/prepare.sh"
 data_centres=(ikeja lekki yaba)
 start_platform
@@ -14,13 +14,13 @@
     wait_for 30 "ready daemon $number" is_ready "$number"
     wait_for 60 "answer through daemon $number" has_answer "$number"
 done
-# Every daemon learns of those of its own data centre, also when its first contacts are elsewhere.
+# Every daemon gets to know the daemons of its own data centre, even if its seed peers are in other data centres.
 knows_neighbours() { [ "$(vetchpost status --daemon "$(operators_of "$1")" | grep -c " ${data_centres[$(($1 % 3))]} .* alive ")" = 3 ]; }
 for number in 1 2 3 4 5 6 7 8 9; do wait_for 20 "three daemons of its data centre at daemon $number" knows_neighbours "$number"; done
 whole=$(text_of "$(chat 1 "the question")")
 touch "$work/run"
 
-# A caller of the model: each answer is whole and right, or says truthfully why not, or its daemon was killed under it.
+# A client of the model: each answer is complete and correct, or a correct error, or its daemon was killed meanwhile.
 ask_model() {
     local worker=$1 count=0 daemon answer
     while [ -e "$work/run" ]; do
@@ -36,7 +36,7 @@
     done >"$work/model-$worker"
 }
 
-# A caller of the service: repeats an order under its key through other daemons until it is told what became of it.
+# A client of the service: retries an order with its key through other daemons until it gets the outcome.
 ask_service() {
     local worker=$1 count=0 order try answer
     while [ -e "$work/run" ]; do
@@ -59,7 +59,7 @@
     ask_service $worker &
     workers+=($!)
 done
-# In turn: two daemons, two engines, each comes back a few seconds later.
+# Kills daemons and engines in turn and restarts each a few seconds later.
 for turn in 1 2; do
     daemon=$((turn * 3))
     kill -9 "${pids[daemon-$daemon]}"
@@ -79,13 +79,13 @@
 results=$(cat "$work"/model-*)
 echo "model: $(grep -c '^whole' <<<"$results") whole, $(grep -c '^refused' <<<"$results" || true) refused, $(grep -c '^cut' <<<"$results" || true) cut off by a killed daemon, $(grep -c '^wrong' <<<"$results" || true) wrong"
 grep '^refused' <<<"$results" | grep -o '"kind":"[a-z_]*"' | sort | uniq -c || true
-expect "no answer is wrong or lost" "=$(grep -c '^wrong' <<<"$results" || true)=" "=0="
-expect "most answers are whole" "$([ "$(grep -c '^whole' <<<"$results")" -gt "$(grep -vc '^whole' <<<"$results" || true)" ] && echo yes)" yes
+expect "no answer is incorrect or lost" "=$(grep -c '^wrong' <<<"$results" || true)=" "=0="
+expect "most answers are complete" "$([ "$(grep -c '^whole' <<<"$results")" -gt "$(grep -vc '^whole' <<<"$results" || true)" ] && echo yes)" yes
 booked=$(curl -s "http://$(service_address 1)/booked")
 orders=$(cat "$work"/service-*)
 echo "service: $(grep -c done <<<"$orders") done, $(grep -c unknown <<<"$orders" || true) unknown"
 refuse "no order is booked twice" "$(tr ',' '\n' <<<"$booked" | grep -vE ':1[}]*$' || echo none)" ':'
 for order in $(sed -n 's/ done$//p' <<<"$orders"); do
-    case $booked in *"\"$order\":1"*) ;; *) fail "$order was said to be done and is not booked" ;; esac
+    case $booked in *"\"$order\":1"*) ;; *) fail "$order was reported as done and is not booked" ;; esac
 done
 passed=$((passed + 1))
--- a/Tests/StandIns/engineModel.cpp
+++ b/Tests/StandIns/engineModel.cpp
@@ -11,8 +11,8 @@
 
 constexpr std::uint64_t defaultTokens = 24;
 
-/// The words of an answer depend on the prompt alone, so that a continued answer can be compared with a whole one.
-std::vector<std::string> wordsFor(const Json::Value &call)
+/// Generates the words of an answer from the prompt alone, so that a resumed answer can be compared with an undisturbed one.
+std::vector<std::string> generateWords(const Json::Value &call)
 {
     std::string prompt;
     for (const auto &message : jsonArray(call, "messages")) {
@@ -36,7 +36,7 @@
     m_state.run = incarnation(static_cast<std::uint64_t>(calendarMilliseconds()));
 }
 
-bool engine_model::takeOrder(const engine_order &order, instant now)
+bool engine_model::acceptOrder(const engine_order &order, instant now)
 {
     const std::lock_guard lock(m_mutex);
     if (m_options.checksFencing && order.ordered < m_state.confirmed) {
@@ -70,28 +70,28 @@
     m_state.isLeaving = isLeaving;
 }
 
-std::optional<made_answer> engine_model::begin(const Json::Value &call, instant now, std::string &whyNot)
+std::optional<generated_answer> engine_model::startAnswer(const Json::Value &call, instant now, std::string &refusalReason)
 {
     const auto present = state(now);
     const std::lock_guard lock(m_mutex);
     const bool isExpected = present.group.value() == jsonString(call, "group")
         && present.confirmed.value() == jsonNumber(call, "generation") && present.phase == engine_phase::ready;
-    if (!isExpected || m_running >= m_options.mostRunning) {
-        whyNot = isExpected ? "too many requests" : "another group or generation";
+    if (!isExpected || m_running >= m_options.maxRunning) {
+        refusalReason = isExpected ? "too many requests" : "another group or generation";
         return std::nullopt;
     }
     const auto request = jsonString(call, "request_id");
     ++m_running;
     ++m_runs[request];
-    made_answer answer;
-    answer.words = wordsFor(call);
+    generated_answer answer;
+    answer.words = generateWords(call);
     answer.firstIndex = jsonNumber(call, "first_index");
-    answer.begun = now;
+    answer.startedAt = now;
     m_answers[request] = answer;
     return answer;
 }
 
-std::optional<made_answer> engine_model::find(const std::string &request)
+std::optional<generated_answer> engine_model::findAnswer(const std::string &request)
 {
     const std::lock_guard lock(m_mutex);
     const auto found = m_answers.find(request);
@@ -113,7 +113,7 @@
     return found != m_answers.end() && found->second.isCancelled;
 }
 
-void engine_model::end(const std::string & /*request*/)
+void engine_model::finishAnswer(const std::string & /*request*/)
 {
     const std::lock_guard lock(m_mutex);
     --m_running;
--- a/Tests/StandIns/engineModel.h
+++ b/Tests/StandIns/engineModel.h
@@ -13,12 +13,12 @@
 
 namespace vetchpost::test {
 
-/// One answer that a stand-in engine makes: its words come one after another, and it stays for a while to be taken up.
-struct made_answer
+/// One answer that a stand-in engine generates: the words to stream in order. It stays stored, so that a broken stream can be resumed.
+struct generated_answer
 {
     std::vector<std::string> words;
     std::uint64_t firstIndex = 0;
-    instant begun;
+    instant startedAt;
     bool isCancelled = false;
 };
 
@@ -26,30 +26,31 @@
 {
     bool checksFencing = true;
     duration loadTime{500};
-    duration firstToken{30};
+    duration firstTokenDelay{30};
     duration tokenGap{20};
-    int mostRunning = 64;
+    int maxRunning = 64;
 };
 
-/// What a stand-in engine is and does, without its sockets.
+/// State and behaviour of a stand-in engine, without its sockets.
 class engine_model
 {
 public:
     engine_model(instance_id instance, const engine_options &options);
 
-    /// False where the order carries an old fencing number.
-    bool takeOrder(const engine_order &order, instant now);
+    /// Accepts an order; returns false if fencing is checked and the order has an old fencing number.
+    bool acceptOrder(const engine_order &order, instant now);
     engine_state state(instant now);
     void setLeaving(bool isLeaving);
 
-    /// Begins an answer; nothing, with the reason, where it is refused without running.
-    std::optional<made_answer> begin(const Json::Value &call, instant now, std::string &whyNot);
-    /// An answer that was begun before.
-    std::optional<made_answer> find(const std::string &request);
+    /// Starts an answer. Returns nothing, and sets the reason, if the engine refuses the request without running it.
+    std::optional<generated_answer> startAnswer(const Json::Value &call, instant now, std::string &refusalReason);
+    /// Returns the latest answer started for a request; nothing if there is none.
+    std::optional<generated_answer> findAnswer(const std::string &request);
     void cancel(const std::string &request);
     bool isCancelled(const std::string &request);
-    void end(const std::string &request);
-    /// How often each request was begun here.
+    /// Counts the request as no longer running; its answer stays stored.
+    void finishAnswer(const std::string &request);
+    /// Returns how many times each request has been started at this engine.
     std::map<std::string, int> runs();
     const engine_options &options() const;
 
@@ -58,7 +59,7 @@
     engine_options m_options;
     engine_state m_state;
     instant m_loadedAt;
-    std::map<std::string, made_answer> m_answers;
+    std::map<std::string, generated_answer> m_answers;
     std::map<std::string, int> m_runs;
     int m_running = 0;
 };
--- a/Tests/StandIns/fault_switches.h
+++ b/Tests/StandIns/fault_switches.h
@@ -10,25 +10,25 @@
 
 namespace vetchpost::test {
 
-/// Faults that a stand-in can be told to show, by POST /faults.
+/// Faults that POST /faults injects into a stand-in.
 struct fault_switches
 {
-    /// Every call waits so long first.
+    /// Delay before each call is handled, in milliseconds.
     std::atomic<std::uint64_t> delayMs = 0;
-    /// Every call is refused with this status; 0 for none.
+    /// HTTP status with which each call is refused; 0 refuses none.
     std::atomic<std::uint64_t> refuseWith = 0;
-    /// A refusal says that nothing ran, and asks for so many seconds of rest; 0 for none.
-    std::atomic<std::uint64_t> restSeconds = 0;
-    /// Calls that were refused so.
+    /// Backoff in seconds that a refusal requests, stating also that nothing ran; 0 leaves both out.
+    std::atomic<std::uint64_t> backoffSeconds = 0;
+    /// Number of calls refused with a requested backoff.
     mutable std::atomic<std::uint64_t> rejected = 0;
-    /// So many of the next writes take effect, but their replies are lost.
+    /// Number of following writes that take effect while their replies are lost.
     std::atomic<std::uint64_t> loseReplies = 0;
 
     void set(const Json::Value &json)
     {
         delayMs = jsonNumber(json, "delay_ms");
         refuseWith = jsonNumber(json, "refuse_with");
-        restSeconds = jsonNumber(json, "rest_seconds");
+        backoffSeconds = jsonNumber(json, "rest_seconds");
         loseReplies = jsonNumber(json, "lose_replies");
     }
 
@@ -39,15 +39,15 @@
         return json;
     }
 
-    /// Shows the faults that come before a call; false where the call has been answered.
-    bool before(http_exchange &exchange) const
+    /// Applies the faults that precede the handling of a call; returns false if the call has been answered.
+    bool applyBeforeCall(http_exchange &exchange) const
     {
         std::this_thread::sleep_for(std::chrono::milliseconds(delayMs));
-        if (refuseWith != 0 && restSeconds != 0) {
+        if (refuseWith != 0 && backoffSeconds != 0) {
             ++rejected;
-            exchange.setHeader("Retry-After", std::to_string(restSeconds));
+            exchange.setHeader("Retry-After", std::to_string(backoffSeconds));
             exchange.setHeader("X-Request-Ran", "no");
-            exchange.send(static_cast<int>(refuseWith), "application/json", R"({"ran":"not_run","message":"it rests"})");
+            exchange.send(static_cast<int>(refuseWith), "application/json", R"({"ran":"not_run","message":"backing off"})");
             return false;
         }
         if (refuseWith != 0) {
@@ -65,8 +65,8 @@
     }
 };
 
-/// The JSON body of a request; null where there is none.
-inline Json::Value bodyOf(http_exchange &exchange)
+/// Reads the JSON body of a request; returns null if there is none or it is not valid JSON.
+inline Json::Value readJsonBody(http_exchange &exchange)
 {
     constexpr std::size_t limit = 16U << 20U;
     reason ignored;
--- a/Tests/StandIns/platform/entry_writer.cpp
+++ b/Tests/StandIns/platform/entry_writer.cpp
@@ -16,11 +16,11 @@
 
 namespace names = platform_names;
 
-constexpr duration evaluationPeriod(10);
+constexpr duration pollPeriod(10);
 constexpr duration callTimeout(500);
-/// An entry lapses after as many heartbeats without a write.
-constexpr int heartbeatsKept = 3;
-/// What others may write beside the replicas: none of it names a replica to use. The address is nobody's.
+/// Lifetime of an entry's lease, in heartbeats.
+constexpr int leaseHeartbeats = 3;
+/// Entries that other writers may leave under the replicas' prefix. None describes a usable replica, and nothing listens on the address.
 constexpr std::array foreignEntries
     = {"no JSON",
        "[]",
@@ -49,37 +49,37 @@
 void entry_writer::run()
 {
     while (!m_isStopping && !writeForeign()) {
-        std::this_thread::sleep_for(evaluationPeriod);
+        std::this_thread::sleep_for(pollPeriod);
     }
     while (!m_isStopping) {
-        std::this_thread::sleep_for(evaluationPeriod);
-        const auto wanted = m_host.wantedEntries();
-        forget(wanted);
-        // Where the store does not answer, the rest of the round is left out.
-        std::all_of(wanted.begin(), wanted.end(), [this](const auto &entry) { return m_isStopping || update(entry); });
+        std::this_thread::sleep_for(pollPeriod);
+        const auto desired = m_host.desiredEntries();
+        removeAbsent(desired);
+        // A failed call to the store ends the round.
+        std::all_of(desired.begin(), desired.end(), [this](const auto &entry) { return m_isStopping || update(entry); });
     }
 }
 
-bool entry_writer::update(const replica_host::wanted_entry &wanted)
+bool entry_writer::update(const replica_host::desired_entry &desired)
 {
-    auto &entry = m_written[wanted.id];
+    auto &entry = m_written[desired.id];
     const auto now = monotonicNow();
-    if (entry.lease != 0 && entry.text == wanted.text && now - entry.renewed < m_heartbeat) {
+    if (entry.lease != 0 && entry.text == desired.text && now - entry.renewedAt < m_heartbeat) {
         return true;
     }
-    if (entry.lease != 0 && now - entry.renewed >= m_heartbeat) {
+    if (entry.lease != 0 && now - entry.renewedAt >= m_heartbeat) {
         const auto reply = call("POST", names::renewLeaseCall + std::to_string(entry.lease), Json::Value(Json::objectValue));
         if (!reply) {
             return false;
         }
-        entry.renewed = now;
+        entry.renewedAt = now;
         if (!reply->isSuccess()) {
             entry = {};
         }
     }
     if (entry.lease == 0) {
         Json::Value body;
-        body[names::leaseTime] = Json::Int64((m_heartbeat * heartbeatsKept).count());
+        body[names::leaseTime] = Json::Int64((m_heartbeat * leaseHeartbeats).count());
         const auto reply = call("POST", names::grantLeaseCall, body);
         const auto json = reply && reply->isSuccess() ? parseJson(reply->body) : std::nullopt;
         if (!json) {
@@ -87,14 +87,14 @@
         }
         entry = {jsonNumber(*json, names::lease), {}, now};
     }
-    return entry.text == wanted.text || write(wanted, entry);
+    return entry.text == desired.text || write(desired, entry);
 }
 
-bool entry_writer::write(const replica_host::wanted_entry &wanted, written_entry &entry)
+bool entry_writer::write(const replica_host::desired_entry &desired, written_entry &entry)
 {
     Json::Value write;
-    write[names::key] = names::replicaPrefix + wanted.id;
-    write[names::value] = encodeBase64(wanted.text);
+    write[names::key] = names::replicaPrefix + desired.id;
+    write[names::value] = encodeBase64(desired.text);
     write[names::lease] = Json::UInt64(entry.lease);
     Json::Value body;
     body[names::writes].append(write);
@@ -102,9 +102,9 @@
     if (!reply || !reply->isSuccess()) {
         return false;
     }
-    entry.text = wanted.text;
-    if (wanted.isDraining) {
-        m_host.noteDrainingAccepted(wanted.id);
+    entry.text = desired.text;
+    if (desired.isDraining) {
+        m_host.scheduleTermination(desired.id);
     }
     return true;
 }
@@ -122,15 +122,15 @@
     return reply && reply->isSuccess();
 }
 
-/// The entry of a replica that ended as planned goes at once; one that crashed or is cut off lapses.
-void entry_writer::forget(const std::vector<replica_host::wanted_entry> &wanted)
+/// Deletes the entry of a replica that stopped as planned at once; the entry of one that crashed or is cut off expires with its lease.
+void entry_writer::removeAbsent(const std::vector<replica_host::desired_entry> &desired)
 {
     std::erase_if(m_written, [&](const auto &written) {
-        const bool isWanted = std::any_of(wanted.begin(), wanted.end(), [&](const auto &entry) { return entry.id == written.first; });
-        if (!isWanted && written.second.text.find(std::string("\"") + names::draining + "\"") != std::string::npos) {
+        const bool isDesired = std::any_of(desired.begin(), desired.end(), [&](const auto &entry) { return entry.id == written.first; });
+        if (!isDesired && written.second.text.find(std::string("\"") + names::draining + "\"") != std::string::npos) {
             call("DELETE", names::endLeaseCall + std::to_string(written.second.lease), Json::Value());
         }
-        return !isWanted;
+        return !isDesired;
     });
 }
 
--- a/Tests/StandIns/platform/entry_writer.h
+++ b/Tests/StandIns/platform/entry_writer.h
@@ -6,7 +6,8 @@
 
 namespace vetchpost::test {
 
-/// Keeps the replicas' entries in the store: writes what changed, renews what stands, and removes what has ended as planned.
+/// Maintains the replicas' entries in the store: writes changed entries, renews their leases, and removes the entries of replicas
+/// that have stopped as planned.
 class entry_writer
 {
 public:
@@ -20,15 +21,15 @@
     {
         std::uint64_t lease = 0;
         std::string text;
-        instant renewed;
+        instant renewedAt;
     };
 
     void run();
-    bool update(const replica_host::wanted_entry &wanted);
-    bool write(const replica_host::wanted_entry &wanted, written_entry &entry);
-    /// Entries under the replicas' prefix that no replica wrote; false where the store does not answer.
+    bool update(const replica_host::desired_entry &desired);
+    bool write(const replica_host::desired_entry &desired, written_entry &entry);
+    /// Writes entries under the replicas' prefix that belong to no replica; returns false if the write fails.
     bool writeForeign();
-    void forget(const std::vector<replica_host::wanted_entry> &wanted);
+    void removeAbsent(const std::vector<replica_host::desired_entry> &desired);
     std::optional<http_reply> call(const char *method, const std::string &target, const Json::Value &body);
 
     replica_host &m_host;
--- a/Tests/StandIns/platform/event_journal.cpp
+++ b/Tests/StandIns/platform/event_journal.cpp
@@ -11,21 +11,21 @@
 namespace {
 
 constexpr int notFound = 404;
-/// Enough for a soak of several minutes; older lines are left out.
-constexpr std::size_t mostLines = 1000000;
-constexpr duration evaluationPeriod(10);
-constexpr duration longestSilence(60000);
+/// Enough for a soak of several minutes; older lines are dropped.
+constexpr std::size_t maxLines = 1000000;
+constexpr duration pollPeriod(10);
+constexpr duration maxSilence(60000);
 
 } // namespace
 
-void event_journal::note(const std::string &what, Json::Value fields)
+void event_journal::recordEvent(const std::string &what, Json::Value fields)
 {
     const std::lock_guard lock(m_mutex);
     fields["n"] = Json::UInt64(++m_last);
     fields["steady_ms"] = Json::Int64(monotonicNow().time_since_epoch().count());
     fields["what"] = what;
     m_lines.emplace_back(m_last, toJsonText(fields) + "\n");
-    if (m_lines.size() > mostLines) {
+    if (m_lines.size() > maxLines) {
         m_lines.pop_front();
     }
 }
@@ -41,15 +41,15 @@
     return text;
 }
 
-void fault_share::set(const Json::Value &json)
+void fault_probability::set(const Json::Value &json)
 {
-    m_share = json.isBool() ? (json.asBool() ? 1 : 0) : json.asDouble();
+    m_probability = json.isBool() ? (json.asBool() ? 1 : 0) : json.asDouble();
 }
 
-bool fault_share::strikes() const
+bool fault_probability::occurs() const
 {
     thread_local std::minstd_rand generator(std::random_device{}());
-    return m_share > 0 && std::uniform_real_distribution<double>(0, 1)(generator) < m_share;
+    return m_probability > 0 && std::uniform_real_distribution<double>(0, 1)(generator) < m_probability;
 }
 
 std::unique_ptr<http_server> serveControl(const endpoint &address,
@@ -59,7 +59,7 @@
 {
     auto handle = [&journal, setFaults = std::move(setFaults), facts = std::move(facts)](http_exchange &exchange) {
         if (exchange.path() == "/faults") {
-            setFaults(bodyOf(exchange));
+            setFaults(readJsonBody(exchange));
             sendJson(exchange, Json::Value(Json::objectValue));
         } else if (exchange.path() == "/facts") {
             sendJson(exchange, facts());
@@ -72,16 +72,16 @@
     return std::make_unique<http_server>(address, http_server_limits(), std::move(handle));
 }
 
-void staySilent(http_exchange &exchange, const std::function<bool()> &until)
+void leaveUnanswered(http_exchange &exchange, const std::function<bool()> &until)
 {
-    const auto end = monotonicNow() + longestSilence;
-    while (!until() && !hasCallerLeft(exchange) && monotonicNow() < end) {
-        std::this_thread::sleep_for(evaluationPeriod);
+    const auto end = monotonicNow() + maxSilence;
+    while (!until() && !hasClientDisconnected(exchange) && monotonicNow() < end) {
+        std::this_thread::sleep_for(pollPeriod);
     }
     exchange.abort();
 }
 
-bool hasCallerLeft(const http_exchange &exchange)
+bool hasClientDisconnected(const http_exchange &exchange)
 {
     pollfd watched{exchange.socketDescriptor(), POLLRDHUP, 0};
     return watched.fd < 0 || poll(&watched, 1, 0) != 0;
--- a/Tests/StandIns/platform/event_journal.h
+++ b/Tests/StandIns/platform/event_journal.h
@@ -14,12 +14,12 @@
 
 namespace vetchpost::test {
 
-/// What happened at a stand-in, in its order: numbered lines with the machine's monotonic milliseconds. Safe to use from several threads.
+/// The events of a stand-in in order: numbered lines, each with the machine's monotonic time in milliseconds. Thread-safe.
 class event_journal
 {
 public:
-    void note(const std::string &what, Json::Value fields);
-    /// The lines after the one with that number, each a JSON object.
+    void recordEvent(const std::string &what, Json::Value fields);
+    /// Returns the lines after the line with the given number, each a JSON object.
     std::string linesAfter(std::uint64_t number) const;
 
 private:
@@ -28,26 +28,26 @@
     std::deque<std::pair<std::uint64_t, std::string>> m_lines;
 };
 
-/// The share of cases in which a fault shows; 0 for none, 1 for all.
-class fault_share
+/// The probability with which a fault occurs, from 0 to 1.
+class fault_probability
 {
 public:
     void set(const Json::Value &json);
-    bool strikes() const;
+    bool occurs() const;
 
 private:
-    std::atomic<double> m_share = 0;
+    std::atomic<double> m_probability = 0;
 };
 
-/// Serves a stand-in's control address: POST /faults, GET /facts, GET /events?after=N.
+/// Starts the server at a stand-in's control address, with POST /faults, GET /facts and GET /events?after=N.
 std::unique_ptr<http_server> serveControl(const endpoint &address,
                                           const event_journal &journal,
                                           std::function<void(const Json::Value &)> setFaults,
                                           std::function<Json::Value()> facts);
 
-/// Keeps the connection open and says nothing until the caller leaves, \a until returns true or a minute has passed; then ends it.
-void staySilent(http_exchange &exchange, const std::function<bool()> &until);
-/// Whether the caller has closed its side.
-bool hasCallerLeft(const http_exchange &exchange);
+/// Keeps the connection open without an answer until the client disconnects, \a until returns true or a minute has passed, then aborts it.
+void leaveUnanswered(http_exchange &exchange, const std::function<bool()> &until);
+/// Returns whether the client has closed its side of the connection.
+bool hasClientDisconnected(const http_exchange &exchange);
 
 } // namespace vetchpost::test
--- a/Tests/StandIns/platform/replica_entry.cpp
+++ b/Tests/StandIns/platform/replica_entry.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// What a replica tells of itself.
+// The entry that a replica writes into the store, and its answer to probes.
 #include "Tests/StandIns/platform/replica_model.h"
 #include "Tests/StandIns/platform/stand_in_names.h"
 
@@ -58,13 +58,13 @@
         model[names::version] = 1;
         json[names::models].append(model);
     }
-    if (const auto &place = replica.membership) {
+    if (const auto &membership = replica.membership) {
         auto &group = json[names::group];
-        group[names::name] = place->group;
-        group[names::epoch] = Json::UInt64(place->epoch);
-        const auto self = std::find(place->members.begin(), place->members.end(), replica.id);
-        group[names::rank] = static_cast<int>(self - place->members.begin());
-        group[names::state] = stateName(place->state);
+        group[names::name] = membership->group;
+        group[names::epoch] = Json::UInt64(membership->epoch);
+        const auto self = std::find(membership->members.begin(), membership->members.end(), replica.id);
+        group[names::rank] = static_cast<int>(self - membership->members.begin());
+        group[names::state] = stateName(membership->state);
     }
     return json;
 }
--- a/Tests/StandIns/platform/replica_host.cpp
+++ b/Tests/StandIns/platform/replica_host.cpp
@@ -15,10 +15,11 @@
 
 namespace names = platform_names;
 
-constexpr duration tickTime(10);
-/// How long a leaving replica goes on after the store has accepted that, and how long at most while its group has work.
+constexpr duration tickPeriod(10);
+/// Time for which a draining replica goes on after the store has accepted its draining entry, and the longest extension of that time while
+/// its group has work.
 constexpr duration drainTime(2500);
-constexpr duration longestDrain(10000);
+constexpr duration maxDrainExtension(10000);
 
 bool isNamedIn(const Json::Value &list, const std::string &id)
 {
@@ -27,15 +28,15 @@
 
 } // namespace
 
-replica_host::replica_host(replica_world world, const host_options &options)
+replica_host::replica_host(replica_simulation simulation, const host_options &options)
     : m_options(options)
-    , m_world(std::move(world))
-    , m_lives(m_world.replicas.size())
-    , m_hasCrashed(m_world.replicas.size())
-    , m_servers(m_world.replicas.size())
+    , m_simulation(std::move(simulation))
+    , m_incarnations(m_simulation.replicas.size())
+    , m_hasCrashed(m_simulation.replicas.size())
+    , m_servers(m_simulation.replicas.size())
 {
     for (std::size_t number = 0; number < m_servers.size(); ++number) {
-        m_world.replicas[number].isAlive = false;
+        m_simulation.replicas[number].isAlive = false;
         startIncarnation(number);
     }
     m_ticker = std::thread([this] { runTicks(); });
@@ -52,35 +53,35 @@
     return m_journal;
 }
 
-// Lives.
+// Start and stop.
 
 void replica_host::startIncarnation(std::size_t number)
 {
-    // One life ends before the next begins: both need the port.
+    // An incarnation must stop before the next one starts, because both use the same port.
     const std::lock_guard incarnations(m_incarnationsMutex);
     const auto port = static_cast<std::uint16_t>(m_options.basePort + number);
     {
         const std::lock_guard lock(m_mutex);
-        auto &replica = m_world.replicas[number];
+        auto &replica = m_simulation.replicas[number];
         if (replica.isAlive) {
             return;
         }
-        // Of the replicas that crash every second one comes back under the id that it had.
+        // Among the replicas that have crashed, those with an even number restart with the same id.
         const bool keepsId = m_hasCrashed[number] && number % 2 == 0;
-        ++m_lives[number];
-        replica.id = keepsId ? replica.id : fmt::format("i-{}-{}", number, m_lives[number]);
+        ++m_incarnations[number];
+        replica.id = keepsId ? replica.id : fmt::format("i-{}-{}", number, m_incarnations[number]);
         replica.born = static_cast<std::uint64_t>(
             std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count());
-        m_ends.erase(replica.id);
+        m_terminations.erase(replica.id);
         replica.address = fmt::format("127.0.0.1:{}", port);
         replica.isAlive = true;
-        replica.isDark = replica.isDraining = false;
+        replica.isCutOff = replica.isDraining = false;
         replica.highestEpoch = replica.orders = 0;
         replica.active = replica.waiting = 0;
         Json::Value fields;
         fields["replica"] = replica.id;
-        m_world.events.push_back({"started", fields});
-        passEvents();
+        m_simulation.events.push_back({"started", fields});
+        flushEvents();
     }
     http_server_limits limits;
     limits.maximumThreads = 256;
@@ -94,14 +95,14 @@
     const std::lock_guard incarnations(m_incarnationsMutex);
     {
         const std::lock_guard lock(m_mutex);
-        auto &replica = m_world.replicas[number];
+        auto &replica = m_simulation.replicas[number];
         if (!replica.isAlive) {
             return;
         }
         m_hasCrashed[number] = !isAnnounced;
-        endIncarnation(m_world, replica);
-        m_world.events.back().fields["announced"] = isAnnounced;
-        passEvents();
+        endIncarnation(m_simulation, replica);
+        m_simulation.events.back().fields["announced"] = isAnnounced;
+        flushEvents();
     }
     m_servers[number].reset();
 }
@@ -112,19 +113,19 @@
     std::vector<std::size_t> toStart;
     {
         const std::lock_guard lock(m_mutex);
-        for (std::size_t number = 0; number < m_world.replicas.size(); ++number) {
-            auto &replica = m_world.replicas[number];
+        for (std::size_t number = 0; number < m_simulation.replicas.size(); ++number) {
+            auto &replica = m_simulation.replicas[number];
             if (json.isMember("kill") && isNamedIn(json["kill"], replica.id)) {
                 toKill.push_back(number);
             }
-            replica.isDark = replica.isDark || (json.isMember("dark") && isNamedIn(json["dark"], replica.id));
+            replica.isCutOff = replica.isCutOff || (json.isMember("dark") && isNamedIn(json["dark"], replica.id));
             replica.isDraining = replica.isDraining || (json.isMember("drain") && isNamedIn(json["drain"], replica.id));
-            setNotices(replica, json);
+            setNoticeFaults(replica, json);
             if (json.isMember("slow") && json["slow"].isMember(replica.id)) {
                 replica.slowness = json["slow"][replica.id].asDouble();
             }
             if (json.isMember("revive")) {
-                replica.isDark = false;
+                replica.isCutOff = false;
                 if (!replica.isAlive) {
                     toStart.push_back(number);
                 }
@@ -133,26 +134,26 @@
     }
     std::for_each(toKill.begin(), toKill.end(), [&](std::size_t number) { stopIncarnation(number, false); });
     std::for_each(toStart.begin(), toStart.end(), [&](std::size_t number) { startIncarnation(number); });
-    const auto setShare = [&](const char *name, fault_share &share) {
+    const auto setProbability = [&](const char *name, fault_probability &probability) {
         if (json.isMember(name)) {
-            share.set(json[name].isObject() ? json[name]["share"] : json[name]);
+            probability.set(json[name].isObject() ? json[name]["share"] : json[name]);
         }
     };
-    setShare("lose_answer", m_faults.loseAnswers);
+    setProbability("lose_answer", m_faults.loseAnswers);
     if (json.isMember("deadly_body")) {
         const std::lock_guard lock(m_mutex);
         m_faults.deadlyBody = jsonString(json, "deadly_body");
     }
-    setShare("garble", m_faults.garble);
-    setShare("extra_bytes", m_faults.extraBytes);
-    setShare("late_orders", m_faults.lateOrders);
+    setProbability("garble", m_faults.garble);
+    setProbability("extra_bytes", m_faults.extraBytes);
+    setProbability("late_orders", m_faults.delayOrders);
     if (json.isMember("late_orders") && json["late_orders"].isObject() && json["late_orders"].isMember("ms")) {
-        m_faults.lateOrdersMs = json["late_orders"]["ms"].asInt64();
+        m_faults.orderDelayMs = json["late_orders"]["ms"].asInt64();
     }
 }
 
-/// Takes what a replica is to say in its answers from now on; with the mutex held.
-void replica_host::setNotices(stand_in_replica &replica, const Json::Value &json)
+/// Sets the notices that a replica's answers carry from now on. The caller holds m_mutex.
+void replica_host::setNoticeFaults(stand_in_replica &replica, const Json::Value &json)
 {
     if (json.isMember("limit") && json["limit"].isMember(replica.id)) {
         const auto &limit = json["limit"][replica.id];
@@ -160,20 +161,20 @@
         Json::Value fields;
         fields["replica"] = replica.id;
         fields["value"] = replica.rateLimit.value_or(0);
-        m_world.events.push_back({replica.rateLimit ? "limit_begins" : "limit_ends", fields});
-        passEvents();
+        m_simulation.events.push_back({replica.rateLimit ? "limit_begins" : "limit_ends", fields});
+        flushEvents();
     }
     if (json.isMember("rest") && json["rest"].isMember(replica.id)) {
-        replica.rest = json["rest"][replica.id].asString();
+        replica.backoff = json["rest"][replica.id].asString();
     }
-    replica.saysLeaving = replica.saysLeaving || (json.isMember("say_leaving") && isNamedIn(json["say_leaving"], replica.id));
+    replica.announcesLeaving = replica.announcesLeaving || (json.isMember("say_leaving") && isNamedIn(json["say_leaving"], replica.id));
 }
 
-/// What a replica says of itself in an answer with this status.
-std::vector<http_header> replica_host::noticesOf(const std::string &id, int status)
+/// Returns the notice headers of a replica's answer with the given status.
+std::vector<http_header> replica_host::noticeHeaders(const std::string &id, int status)
 {
     const std::lock_guard lock(m_mutex);
-    const auto *replica = findReplica(m_world, id);
+    const auto *replica = findReplica(m_simulation, id);
     std::vector<http_header> notices;
     if (replica == nullptr) {
         return notices;
@@ -181,11 +182,11 @@
     if (replica->rateLimit) {
         notices.push_back({names::serverLimit, fmt::format("{}", *replica->rateLimit)});
     }
-    if (replica->saysLeaving || replica->isDraining) {
+    if (replica->announcesLeaving || replica->isDraining) {
         notices.push_back({names::serverLeaving, names::isSet});
     }
-    if (status == names::unavailable && !replica->rest.empty()) {
-        notices.push_back({names::retryAfter, replica->rest});
+    if (status == names::unavailable && !replica->backoff.empty()) {
+        notices.push_back({names::retryAfter, replica->backoff});
     }
     return notices;
 }
@@ -195,11 +196,11 @@
     const std::lock_guard lock(m_mutex);
     Json::Value json;
     json["replicas"] = Json::Value(Json::arrayValue);
-    for (const auto &replica : m_world.replicas) {
+    for (const auto &replica : m_simulation.replicas) {
         auto fact = reportOf(replica);
         fact["id"] = replica.id;
         fact["alive"] = replica.isAlive;
-        fact["dark"] = replica.isDark;
+        fact["dark"] = replica.isCutOff;
         json["replicas"].append(fact);
     }
     for (const auto &[what, count] : m_counts) {
@@ -208,35 +209,35 @@
     return json;
 }
 
-std::vector<replica_host::wanted_entry> replica_host::wantedEntries()
+std::vector<replica_host::desired_entry> replica_host::desiredEntries()
 {
     const std::lock_guard lock(m_mutex);
-    std::vector<wanted_entry> result;
-    for (std::size_t number = 0; number < m_world.replicas.size(); ++number) {
-        const auto &replica = m_world.replicas[number];
-        if (replica.isAlive && !replica.isDark) {
+    std::vector<desired_entry> result;
+    for (std::size_t number = 0; number < m_simulation.replicas.size(); ++number) {
+        const auto &replica = m_simulation.replicas[number];
+        if (replica.isAlive && !replica.isCutOff) {
             result.push_back({number, replica.id, toJsonText(vetchpost::test::entryOf(replica)), replica.isDraining});
         }
     }
     return result;
 }
 
-void replica_host::noteDrainingAccepted(const std::string &id)
+void replica_host::scheduleTermination(const std::string &id)
 {
     const std::lock_guard lock(m_mutex);
-    if (m_ends.try_emplace(id, monotonicNow() + drainTime).second) {
+    if (m_terminations.try_emplace(id, monotonicNow() + drainTime).second) {
         Json::Value fields;
         fields["replica"] = id;
-        m_journal.note("draining", fields);
+        m_journal.recordEvent("draining", fields);
     }
 }
 
-// Time.
+// Timers.
 
 void replica_host::runTicks()
 {
     while (!m_isStopping) {
-        std::this_thread::sleep_for(tickTime);
+        std::this_thread::sleep_for(tickPeriod);
         tick();
     }
 }
@@ -246,59 +247,59 @@
     const auto now = monotonicNow();
     {
         const std::lock_guard lock(m_mutex);
-        settle(m_world, now);
-        for (auto late = m_lateOrders.begin(); late != m_lateOrders.end();) {
-            if (late->at > now) {
-                ++late;
+        advance(m_simulation, now);
+        for (auto delayed = m_delayedOrders.begin(); delayed != m_delayedOrders.end();) {
+            if (delayed->at > now) {
+                ++delayed;
                 continue;
             }
-            auto *replica = findReplica(m_world, late->id);
+            auto *replica = findReplica(m_simulation, delayed->id);
             if (replica != nullptr && replica->isAlive) {
-                takeOrder(m_world, *replica, late->order, now);
+                executeOrder(m_simulation, *replica, delayed->order, now);
             }
-            late = m_lateOrders.erase(late);
+            delayed = m_delayedOrders.erase(delayed);
         }
-        passEvents();
+        flushEvents();
     }
-    endDrained(now);
-    endAndStartAgain(now);
+    stopDrained(now);
+    crashAndRestart(now);
 }
 
-/// Ends the replicas that requests have struck, and starts again those whose time has come.
-void replica_host::endAndStartAgain(instant now)
+/// Stops the replicas that deadly requests have hit, and restarts those whose downtime is over.
+void replica_host::crashAndRestart(instant now)
 {
     std::vector<std::size_t> toEnd;
     std::vector<std::size_t> toStart;
     {
         const std::lock_guard lock(m_mutex);
-        for (const auto &ended : m_endedReplicas) {
-            const auto &replica = m_world.replicas[ended.number];
-            if (replica.isAlive && replica.id == ended.id && ended.startsAt > now) {
+        for (const auto &ended : m_crashedReplicas) {
+            const auto &replica = m_simulation.replicas[ended.number];
+            if (replica.isAlive && replica.id == ended.id && ended.restartsAt > now) {
                 toEnd.push_back(ended.number);
-            } else if (ended.startsAt <= now) {
+            } else if (ended.restartsAt <= now) {
                 toStart.push_back(ended.number);
             }
         }
-        std::erase_if(m_endedReplicas, [&](const ended_replica &ended) { return ended.startsAt <= now; });
+        std::erase_if(m_crashedReplicas, [&](const crashed_replica &ended) { return ended.restartsAt <= now; });
     }
     std::for_each(toEnd.begin(), toEnd.end(), [&](std::size_t number) { stopIncarnation(number, false); });
     std::for_each(toStart.begin(), toStart.end(), [&](std::size_t number) { startIncarnation(number); });
 }
 
-void replica_host::endDrained(instant now)
+void replica_host::stopDrained(instant now)
 {
     std::vector<std::size_t> toEnd;
     {
         const std::lock_guard lock(m_mutex);
-        for (std::size_t number = 0; number < m_world.replicas.size(); ++number) {
-            const auto &replica = m_world.replicas[number];
-            const auto end = m_ends.find(replica.id);
-            if (!replica.isAlive || end == m_ends.end() || end->second > now) {
+        for (std::size_t number = 0; number < m_simulation.replicas.size(); ++number) {
+            const auto &replica = m_simulation.replicas[number];
+            const auto end = m_terminations.find(replica.id);
+            if (!replica.isAlive || end == m_terminations.end() || end->second > now) {
                 continue;
             }
-            const auto *head = replica.membership ? findReplica(m_world, replica.membership->members.front()) : &replica;
+            const auto *head = replica.membership ? findReplica(m_simulation, replica.membership->members.front()) : &replica;
             const bool hasWork = head != nullptr && head->active + head->waiting > 0;
-            if (!hasWork || end->second + longestDrain <= now) {
+            if (!hasWork || end->second + maxDrainExtension <= now) {
                 toEnd.push_back(number);
             }
         }
@@ -306,13 +307,13 @@
     std::for_each(toEnd.begin(), toEnd.end(), [&](std::size_t number) { stopIncarnation(number, true); });
 }
 
-void replica_host::passEvents()
+void replica_host::flushEvents()
 {
-    for (auto &event : m_world.events) {
+    for (auto &event : m_simulation.events) {
         ++m_counts[event.what];
-        m_journal.note(event.what, std::move(event.fields));
+        m_journal.recordEvent(event.what, std::move(event.fields));
     }
-    m_world.events.clear();
+    m_simulation.events.clear();
 }
 
 // Calls.
@@ -320,8 +321,8 @@
 bool replica_host::isSilent(std::size_t number, const std::string &id)
 {
     const std::lock_guard lock(m_mutex);
-    const auto &replica = m_world.replicas[number];
-    return replica.isAlive && replica.id == id && replica.isDark && !m_isStopping;
+    const auto &replica = m_simulation.replicas[number];
+    return replica.isAlive && replica.id == id && replica.isCutOff && !m_isStopping;
 }
 
 void replica_host::handle(std::size_t number, http_exchange &exchange)
@@ -329,22 +330,22 @@
     stand_in_replica replica;
     {
         const std::lock_guard lock(m_mutex);
-        replica = m_world.replicas[number];
+        replica = m_simulation.replicas[number];
     }
-    if (replica.isDark) {
-        staySilent(exchange, [&] { return !isSilent(number, replica.id); });
+    if (replica.isCutOff) {
+        leaveUnanswered(exchange, [&] { return !isSilent(number, replica.id); });
         return;
     }
     const auto expected = exchange.header(names::expectInstance);
     if (!expected.empty() && expected != replica.id) {
         exchange.setHeader(names::attemptId, exchange.header(names::attemptId));
         exchange.setHeader(stand_in_names::instance, replica.id);
-        for (const auto &notice : noticesOf(replica.id, names::misdirected)) {
+        for (const auto &notice : noticeHeaders(replica.id, names::misdirected)) {
             exchange.setHeader(notice.name, notice.value);
         }
         exchange.send(names::misdirected, "text/plain", "another instance\n");
     } else if (exchange.path() == names::reportCall) {
-        for (const auto &notice : noticesOf(replica.id, 0)) {
+        for (const auto &notice : noticeHeaders(replica.id, 0)) {
             exchange.setHeader(notice.name, notice.value);
         }
         sendJson(exchange, reportOf(replica));
@@ -357,31 +358,31 @@
 
 void replica_host::handleOrder(std::size_t number, http_exchange &exchange)
 {
-    const auto order = bodyOf(exchange);
+    const auto order = readJsonBody(exchange);
     const auto now = monotonicNow();
     std::string id;
     int status = 0;
     {
         const std::lock_guard lock(m_mutex);
-        auto &replica = m_world.replicas[number];
+        auto &replica = m_simulation.replicas[number];
         id = replica.id;
-        if (m_faults.lateOrders.strikes()) {
-            m_lateOrders.push_back({now + duration(m_faults.lateOrdersMs), id, order});
+        if (m_faults.delayOrders.occurs()) {
+            m_delayedOrders.push_back({now + duration(m_faults.orderDelayMs), id, order});
         } else {
-            status = takeOrder(m_world, replica, order, now);
-            passEvents();
+            status = executeOrder(m_simulation, replica, order, now);
+            flushEvents();
         }
     }
     if (status != 0) {
-        for (const auto &notice : noticesOf(id, status)) {
+        for (const auto &notice : noticeHeaders(id, status)) {
             exchange.setHeader(notice.name, notice.value);
         }
         sendJson(exchange, Json::Value(Json::objectValue), status);
         return;
     }
-    staySilent(exchange, [&] {
+    leaveUnanswered(exchange, [&] {
         const std::lock_guard lock(m_mutex);
-        return !m_world.replicas[number].isAlive || m_isStopping;
+        return !m_simulation.replicas[number].isAlive || m_isStopping;
     });
 }
 
--- a/Tests/StandIns/platform/replica_host.h
+++ b/Tests/StandIns/platform/replica_host.h
@@ -8,21 +8,21 @@
 
 namespace vetchpost::test {
 
-/// A replica that ended under a request is back after this time.
-constexpr duration endLength(1500);
+/// Time after which a replica that a request has crashed starts again.
+constexpr duration crashDowntime(1500);
 
 struct replica_faults
 {
-    /// Answers of requests that ran and are then lost; a stream breaks off inside an event.
-    fault_share loseAnswers;
-    /// Bytes that are no answer.
-    fault_share garble;
-    /// Bytes after a whole answer.
-    fault_share extraBytes;
-    /// Orders without an answer that are carried out later.
-    fault_share lateOrders;
-    std::atomic<std::int64_t> lateOrdersMs = 3000;
-    /// A request whose body begins so ends each replica that runs it; empty for none.
+    /// The request runs and its answer is lost; a stream breaks off inside an event.
+    fault_probability loseAnswers;
+    /// The answer is replaced by bytes that are not valid HTTP.
+    fault_probability garble;
+    /// A complete answer is followed by surplus bytes.
+    fault_probability extraBytes;
+    /// Orders are not answered and take effect after a delay.
+    fault_probability delayOrders;
+    std::atomic<std::int64_t> orderDelayMs = 3000;
+    /// Prefix of the bodies of requests that crash each replica that runs them; empty for none.
     std::string deadlyBody;
 };
 
@@ -33,11 +33,11 @@
     std::uint16_t basePort = 0;
 };
 
-/// The replicas of the platform: each with a port and lives of its own, all in one process.
+/// Runs all replicas of the platform in one process. Each has a port of its own, and starts and stops independently.
 class replica_host
 {
 public:
-    replica_host(replica_world world, const host_options &options);
+    replica_host(replica_simulation simulation, const host_options &options);
     ~replica_host();
     replica_host(const replica_host &) = delete;
     replica_host &operator=(const replica_host &) = delete;
@@ -46,27 +46,27 @@
     Json::Value facts();
     const event_journal &journal() const;
 
-    /// What the store is to hold of one replica.
-    struct wanted_entry
+    /// The entry that the store should hold for a replica.
+    struct desired_entry
     {
         std::size_t number;
         std::string id;
         std::string text;
         bool isDraining;
     };
-    /// The entries of all replicas that live and are not cut off.
-    std::vector<wanted_entry> wantedEntries();
-    /// The store has accepted that the replica is leaving: it ends after the time that the platform leaves it.
-    void noteDrainingAccepted(const std::string &id);
+    /// Returns the entries of all replicas that are alive and not cut off.
+    std::vector<desired_entry> desiredEntries();
+    /// Schedules the end of a draining replica, called once the store has accepted the entry that says so. Later calls have no effect.
+    void scheduleTermination(const std::string &id);
 
 private:
-    struct late_order
+    struct delayed_order
     {
         instant at;
         std::string id;
         Json::Value order;
     };
-    /// One request at one replica.
+    /// A request at a replica, waiting or running.
     struct running_request
     {
         std::size_t number;
@@ -74,18 +74,18 @@
         std::uint64_t serving;
         std::string attempt;
         instant deadline;
-        /// The first event that is wanted.
+        /// Number of the first event to send; greater than 1 if a stream is resumed.
         int firstEvent;
         int lastEvent;
-        /// It ends the replica.
+        /// Whether it crashes the replica.
         bool isDeadly = false;
     };
-    /// A replica that ended under a request, or will in the next moment, and when it starts again.
-    struct ended_replica
+    /// A replica that a request has crashed, or will crash at the next tick, and when it starts again.
+    struct crashed_replica
     {
         std::size_t number;
         std::string id;
-        instant startsAt;
+        instant restartsAt;
     };
 
     void startIncarnation(std::size_t number);
@@ -95,41 +95,42 @@
     void handleRequest(std::size_t number, http_exchange &exchange);
     bool waitForSlot(const running_request &request, http_exchange &exchange);
     void run(const running_request &request, http_exchange &exchange);
-    void begin(const running_request &request);
-    std::string answer(const running_request &request, http_exchange &exchange);
-    std::string stream(const running_request &request, http_exchange &exchange);
-    std::string pause(const running_request &request, const http_exchange &exchange, duration time);
+    void recordStart(const running_request &request);
+    std::string sendPlainAnswer(const running_request &request, http_exchange &exchange);
+    std::string sendStream(const running_request &request, http_exchange &exchange);
+    std::string workFor(const running_request &request, const http_exchange &exchange, duration time);
     void refuse(const running_request &request, http_exchange &exchange, int status);
     std::vector<http_header> answerHeaders(const running_request &request);
-    std::vector<http_header> noticesOf(const std::string &id, int status);
-    void setNotices(stand_in_replica &replica, const Json::Value &json);
+    std::vector<http_header> noticeHeaders(const std::string &id, int status);
+    void setNoticeFaults(stand_in_replica &replica, const Json::Value &json);
     void addNotices(const running_request &request, http_exchange &exchange, int status);
-    void noteTold(const running_request &request, int status);
+    void recordNotices(const running_request &request, int status);
     void runTicks();
     void tick();
-    void endDrained(instant now);
-    std::string endReplica(const running_request &request, const http_exchange &exchange);
-    void endAndStartAgain(instant now);
-    /// Moves the model's events to the journal; with the mutex held.
-    void passEvents();
-    void note(const char *what, const running_request &request, const char *name, const Json::Value &value);
+    void stopDrained(instant now);
+    std::string crashReplica(const running_request &request, const http_exchange &exchange);
+    void crashAndRestart(instant now);
+    /// Moves the model's events to the journal. The caller holds m_mutex.
+    void flushEvents();
+    void recordEvent(const char *what, const running_request &request, const char *name, const Json::Value &value);
     bool isSilent(std::size_t number, const std::string &id);
 
     host_options m_options;
     replica_faults m_faults;
     event_journal m_journal;
-    /// Taken before the other one.
+    /// Locked before m_mutex.
     std::mutex m_incarnationsMutex;
     std::mutex m_mutex;
-    replica_world m_world;
-    std::vector<int> m_lives;
-    /// Replicas whose last life ended without notice.
+    replica_simulation m_simulation;
+    /// Number of incarnations of each replica so far.
+    std::vector<int> m_incarnations;
+    /// Whether the last incarnation of each replica ended without notice.
     std::vector<bool> m_hasCrashed;
     std::vector<std::unique_ptr<http_server>> m_servers;
-    std::vector<late_order> m_lateOrders;
-    std::vector<ended_replica> m_endedReplicas;
-    /// When a leaving replica may end, and when it ends in any case.
-    std::map<std::string, instant> m_ends;
+    std::vector<delayed_order> m_delayedOrders;
+    std::vector<crashed_replica> m_crashedReplicas;
+    /// When each draining replica stops, unless its group still has work, which delays the end for a limited time.
+    std::map<std::string, instant> m_terminations;
     std::map<std::string, std::uint64_t> m_counts;
     std::atomic<bool> m_isStopping = false;
     std::thread m_ticker;
--- a/Tests/StandIns/platform/replica_model.cpp
+++ b/Tests/StandIns/platform/replica_model.cpp
@@ -21,15 +21,15 @@
 constexpr int conflict = 409;
 constexpr int outdated = 412;
 constexpr int unavailable = 503;
-/// Requests that wait beside those that run.
+/// Maximum number of requests that wait at a replica while all of its slots are used.
 constexpr int queueLength = 8;
 
-std::string placeName(const stand_in_membership &place, const std::string &replica)
+std::string membershipKey(const stand_in_membership &membership, const std::string &replica)
 {
-    return fmt::format("{}|{}|{}", place.group, place.epoch, replica);
+    return fmt::format("{}|{}|{}", membership.group, membership.epoch, replica);
 }
 
-Json::Value &note(replica_world &world, const char *what, const stand_in_replica &replica)
+Json::Value &recordEvent(replica_simulation &simulation, const char *what, const stand_in_replica &replica)
 {
     Json::Value fields;
     fields["replica"] = replica.id;
@@ -37,20 +37,22 @@
         fields["group"] = replica.membership->group;
         fields["epoch"] = Json::UInt64(replica.membership->epoch);
     }
-    world.events.push_back({what, fields});
-    return world.events.back().fields;
+    simulation.events.push_back({what, fields});
+    return simulation.events.back().fields;
 }
 
-/// Whether the replica still stands in the formation and the head can reach it.
-bool isPresent(const stand_in_replica *member, const stand_in_membership &place)
+/// Returns whether the replica is still in the formation and reachable by the head.
+bool isReachableMember(const stand_in_replica *member, const stand_in_membership &membership)
 {
-    return member != nullptr && member->isAlive && !member->isDark && member->membership && member->membership->isSameFormation(place);
+    return member != nullptr && member->isAlive && !member->isCutOff && member->membership
+        && member->membership->isSameFormation(membership);
 }
 
-bool lacksMember(replica_world &world, const stand_in_membership &place)
+bool isMemberMissing(replica_simulation &simulation, const stand_in_membership &membership)
 {
-    return std::any_of(
-        place.members.begin(), place.members.end(), [&](const auto &id) { return !isPresent(findReplica(world, id), place); });
+    return std::any_of(membership.members.begin(), membership.members.end(), [&](const auto &id) {
+        return !isReachableMember(findReplica(simulation, id), membership);
+    });
 }
 
 bool isHead(const stand_in_replica &replica)
@@ -58,159 +60,159 @@
     return replica.membership && replica.membership->members.front() == replica.id;
 }
 
-void settleStaging(replica_world &world, stand_in_replica &replica, instant now)
+void advanceStaging(replica_simulation &simulation, stand_in_replica &replica, instant now)
 {
     if (replica.staging && replica.staging->second <= now) {
         replica.staged = replica.staging->first;
         replica.staging.reset();
-        note(world, "staged", replica)["model"] = replica.staged;
+        recordEvent(simulation, "staged", replica)["model"] = replica.staged;
     }
 }
 
-void settleJoining(replica_world &world, stand_in_replica &replica, instant now)
+void advanceJoining(replica_simulation &simulation, stand_in_replica &replica, instant now)
 {
-    auto &place = *replica.membership;
-    if (place.state == member_state::joining && place.readyAt <= now) {
-        place.state = member_state::ready;
-        replica.staged = place.model;
-        replica.lastModel = place.model;
-        world.everReady.insert(placeName(place, replica.id));
+    auto &membership = *replica.membership;
+    if (membership.state == member_state::joining && membership.readyAt <= now) {
+        membership.state = member_state::ready;
+        replica.staged = membership.model;
+        replica.lastModel = membership.model;
+        simulation.everReadyMemberships.insert(membershipKey(membership, replica.id));
     }
 }
 
-void settleHead(replica_world &world, stand_in_replica &head, instant now)
+void advanceHead(replica_simulation &simulation, stand_in_replica &head, instant now)
 {
-    auto &place = *head.membership;
-    if (place.opensAt && *place.opensAt <= now) {
-        place.opensAt.reset();
-        place.state = member_state::open;
+    auto &membership = *head.membership;
+    if (membership.opensAt && *membership.opensAt <= now) {
+        membership.opensAt.reset();
+        membership.state = member_state::open;
         ++head.serving;
-        note(world, "opened", head)["partial"] = isPartial(world, head);
+        recordEvent(simulation, "opened", head)["partial"] = isPartial(simulation, head);
     }
-    if (!place.isServing()) {
+    if (!membership.isServing()) {
         return;
     }
-    if (!lacksMember(world, place)) {
-        place.stalledSince.reset();
-    } else if (!place.stalledSince) {
-        place.stalledSince = now;
-    } else if (now - *place.stalledSince >= world.timing.stall) {
-        place.state = member_state::broken;
+    if (!isMemberMissing(simulation, membership)) {
+        membership.stalledSince.reset();
+    } else if (!membership.stalledSince) {
+        membership.stalledSince = now;
+    } else if (now - *membership.stalledSince >= simulation.timing.stall) {
+        membership.state = member_state::broken;
         ++head.serving;
-        note(world, "broken", head);
+        recordEvent(simulation, "broken", head);
         return;
     }
-    if (place.state == member_state::closing && head.active + head.waiting == 0) {
-        place.state = member_state::ready;
-        note(world, "closed", head);
+    if (membership.state == member_state::closing && head.active + head.waiting == 0) {
+        membership.state = member_state::ready;
+        recordEvent(simulation, "closed", head);
     }
 }
 
-/// What a join costs: nothing is loaded where the replica or its host has the model.
-duration joinTime(replica_world &world, const stand_in_replica &replica, const std::string &model, instant now)
+/// Returns how long a join takes. Weights are loaded from the store only if neither the replica nor its host has them or is loading them.
+duration joinTime(replica_simulation &simulation, const stand_in_replica &replica, const std::string &model, instant now)
 {
     if (replica.lastModel == model) {
-        return world.timing.rejoin;
+        return simulation.timing.rejoin;
     }
     const bool isBeingStaged = replica.staging && replica.staging->first == model;
     if (replica.staged == model || isBeingStaged) {
-        return world.timing.warm + (isBeingStaged ? replica.staging->second - now : duration(0));
+        return simulation.timing.warm + (isBeingStaged ? replica.staging->second - now : duration(0));
     }
-    note(world, "load_began", replica)["model"] = model;
-    return world.timing.load;
+    recordEvent(simulation, "load_began", replica)["model"] = model;
+    return simulation.timing.load;
 }
 
-/// Whether the group that the replica stands in is in use: its members may then not be joined elsewhere.
-bool isGroupInUse(replica_world &world, const stand_in_membership &place)
+/// Returns whether the group is in use: its members must not join another group then.
+bool isGroupInUse(replica_simulation &simulation, const stand_in_membership &membership)
 {
-    const auto *head = findReplica(world, place.members.front());
-    return head != nullptr && head->isAlive && head->membership && head->membership->isSameFormation(place)
+    const auto *head = findReplica(simulation, membership.members.front());
+    return head != nullptr && head->isAlive && head->membership && head->membership->isSameFormation(membership)
         && head->membership->isServing();
 }
 
-int join(replica_world &world, stand_in_replica &replica, const Json::Value &order, instant now)
+int join(replica_simulation &simulation, stand_in_replica &replica, const Json::Value &order, instant now)
 {
-    stand_in_membership place;
-    place.group = jsonString(order, names::group);
-    place.epoch = jsonNumber(order, names::epoch);
-    place.model = jsonString(order, names::model);
+    stand_in_membership membership;
+    membership.group = jsonString(order, names::group);
+    membership.epoch = jsonNumber(order, names::epoch);
+    membership.model = jsonString(order, names::model);
     for (const auto &member : jsonArray(order, names::members)) {
-        place.members.push_back(member.asString());
+        membership.members.push_back(member.asString());
     }
-    const bool isNamed = std::find(place.members.begin(), place.members.end(), replica.id) != place.members.end();
-    if (place.group.empty() || !isNamed || !world.sizes.contains(place.model)) {
+    const bool isListed = std::find(membership.members.begin(), membership.members.end(), replica.id) != membership.members.end();
+    if (membership.group.empty() || !isListed || !simulation.sizes.contains(membership.model)) {
         return badRequest;
     }
     const auto earlier = replica.membership;
-    const bool isSame = earlier && earlier->isSameFormation(place);
-    if (place.epoch < replica.highestEpoch || (isSame && earlier->members != place.members)) {
+    const bool isSame = earlier && earlier->isSameFormation(membership);
+    if (membership.epoch < replica.highestEpoch || (isSame && earlier->members != membership.members)) {
         return outdated;
     }
     if (isSame) {
         return done;
     }
-    const bool isOtherGroup = earlier && earlier->group != place.group;
-    const bool isWhileOpen = isOtherGroup && isGroupInUse(world, *earlier);
-    place.readyAt = now + joinTime(world, replica, place.model, now);
-    replica.highestEpoch = place.epoch;
-    replica.membership = place;
+    const bool isOtherGroup = earlier && earlier->group != membership.group;
+    const bool isOldGroupInUse = isOtherGroup && isGroupInUse(simulation, *earlier);
+    membership.readyAt = now + joinTime(simulation, replica, membership.model, now);
+    replica.highestEpoch = membership.epoch;
+    replica.membership = membership;
     ++replica.serving;
-    auto &fields = note(world, "joined", replica);
-    fields["model"] = place.model;
-    fields["while_open"] = isWhileOpen;
+    auto &fields = recordEvent(simulation, "joined", replica);
+    fields["model"] = membership.model;
+    fields["while_open"] = isOldGroupInUse;
     if (earlier) {
         fields["earlier_group"] = earlier->group;
     }
     return begun;
 }
 
-int open(const replica_world &world, stand_in_replica &replica, instant now)
+int open(const replica_simulation &simulation, stand_in_replica &replica, instant now)
 {
-    auto &place = *replica.membership;
-    if (place.state == member_state::open || place.opensAt) {
+    auto &membership = *replica.membership;
+    if (membership.state == member_state::open || membership.opensAt) {
         return done;
     }
-    if (!isHead(replica) || place.state != member_state::ready) {
+    if (!isHead(replica) || membership.state != member_state::ready) {
         return conflict;
     }
-    place.opensAt = now + world.timing.form;
+    membership.opensAt = now + simulation.timing.form;
     return begun;
 }
 
-int close(replica_world &world, stand_in_replica &replica, const std::string &method)
+int close(replica_simulation &simulation, stand_in_replica &replica, const std::string &method)
 {
-    auto &place = *replica.membership;
-    if (!isHead(replica) || place.state == member_state::joining) {
+    auto &membership = *replica.membership;
+    if (!isHead(replica) || membership.state == member_state::joining) {
         return conflict;
     }
-    const bool hasBegun = place.isServing() || place.state == member_state::broken || place.opensAt;
+    const bool hasBegun = membership.isServing() || membership.state == member_state::broken || membership.opensAt;
     if (!hasBegun) {
         return done;
     }
-    place.opensAt.reset();
-    const bool mayFinish = place.isServing() && method != names::cutMethod && replica.active + replica.waiting > 0;
-    if (mayFinish && place.state == member_state::closing) {
+    membership.opensAt.reset();
+    const bool mayFinish = membership.isServing() && method != names::cutMethod && replica.active + replica.waiting > 0;
+    if (mayFinish && membership.state == member_state::closing) {
         return done;
     }
-    place.state = mayFinish ? member_state::closing : member_state::ready;
+    membership.state = mayFinish ? member_state::closing : member_state::ready;
     if (!mayFinish) {
         ++replica.serving;
-        note(world, "closed", replica);
+        recordEvent(simulation, "closed", replica);
     }
     return begun;
 }
 
-int leave(replica_world &world, stand_in_replica &replica)
+int leave(replica_simulation &simulation, stand_in_replica &replica)
 {
-    note(world, "left", replica);
+    recordEvent(simulation, "left", replica);
     replica.membership.reset();
     ++replica.serving;
     return begun;
 }
 
-int stage(replica_world &world, stand_in_replica &replica, const std::string &model, instant now)
+int stage(replica_simulation &simulation, stand_in_replica &replica, const std::string &model, instant now)
 {
-    if (!world.sizes.contains(model)) {
+    if (!simulation.sizes.contains(model)) {
         return badRequest;
     }
     if (replica.staging) {
@@ -219,19 +221,19 @@
     if (replica.staged == model) {
         return done;
     }
-    replica.staging.emplace(model, now + world.timing.load);
-    note(world, "load_began", replica)["model"] = model;
+    replica.staging.emplace(model, now + simulation.timing.load);
+    recordEvent(simulation, "load_began", replica)["model"] = model;
     return begun;
 }
 
-int carryOut(replica_world &world, stand_in_replica &replica, const Json::Value &order, instant now)
+int dispatchOrder(replica_simulation &simulation, stand_in_replica &replica, const Json::Value &order, instant now)
 {
     const auto operation = jsonString(order, names::operation);
     if (operation == names::joinOperation) {
-        return join(world, replica, order, now);
+        return join(simulation, replica, order, now);
     }
     if (operation == names::stageOperation) {
-        return stage(world, replica, jsonString(order, names::model), now);
+        return stage(simulation, replica, jsonString(order, names::model), now);
     }
     const bool isOpen = operation == names::openOperation;
     const bool isClose = operation == names::closeOperation;
@@ -242,74 +244,75 @@
     if (!replica.membership) {
         return isLeave ? done : conflict;
     }
-    const bool isForThis
+    const bool isForCurrentFormation
         = replica.membership->group == jsonString(order, names::group) && replica.membership->epoch == jsonNumber(order, names::epoch);
-    if (!isForThis) {
+    if (!isForCurrentFormation) {
         return conflict;
     }
     if (isOpen) {
-        return open(world, replica, now);
+        return open(simulation, replica, now);
     }
-    return isClose ? close(world, replica, jsonString(order, names::method)) : leave(world, replica);
+    return isClose ? close(simulation, replica, jsonString(order, names::method)) : leave(simulation, replica);
 }
 
 } // namespace
 
-stand_in_replica *findReplica(replica_world &world, const std::string &id)
+stand_in_replica *findReplica(replica_simulation &simulation, const std::string &id)
 {
-    const auto found = std::find_if(world.replicas.begin(), world.replicas.end(), [&](const auto &replica) { return replica.id == id; });
-    return found == world.replicas.end() ? nullptr : &*found;
+    const auto found
+        = std::find_if(simulation.replicas.begin(), simulation.replicas.end(), [&](const auto &replica) { return replica.id == id; });
+    return found == simulation.replicas.end() ? nullptr : &*found;
 }
 
-void settle(replica_world &world, instant now)
+void advance(replica_simulation &simulation, instant now)
 {
-    for (auto &replica : world.replicas) {
+    for (auto &replica : simulation.replicas) {
         if (replica.isAlive) {
-            settleStaging(world, replica, now);
+            advanceStaging(simulation, replica, now);
         }
         if (replica.isAlive && replica.membership) {
-            settleJoining(world, replica, now);
+            advanceJoining(simulation, replica, now);
         }
     }
-    for (auto &replica : world.replicas) {
+    for (auto &replica : simulation.replicas) {
         if (replica.isAlive && isHead(replica)) {
-            settleHead(world, replica, now);
+            advanceHead(simulation, replica, now);
         }
     }
 }
 
-int takeOrder(replica_world &world, stand_in_replica &replica, const Json::Value &order, instant now)
+int executeOrder(replica_simulation &simulation, stand_in_replica &replica, const Json::Value &order, instant now)
 {
-    settle(world, now);
+    advance(simulation, now);
     if (!replica.hasEngine) {
         return badRequest;
     }
     if (order.isMember(names::expected) && jsonNumber(order, names::expected) != replica.orders) {
         return conflict;
     }
-    const auto status = carryOut(world, replica, order, now);
+    const auto status = dispatchOrder(simulation, replica, order, now);
     if (status == begun) {
         ++replica.orders;
     }
     return status;
 }
 
-void endIncarnation(replica_world &world, stand_in_replica &replica)
+void endIncarnation(replica_simulation &simulation, stand_in_replica &replica)
 {
-    note(world, "gone", replica);
+    recordEvent(simulation, "gone", replica);
     replica.isAlive = false;
     replica.membership.reset();
     replica.staging.reset();
     replica.lastModel.clear();
     ++replica.serving;
     replica.rateLimit.reset();
-    replica.rest.clear();
-    replica.saysLeaving = false;
+    replica.backoff.clear();
+    replica.announcesLeaving = false;
 }
 
 int admissionStatus(const stand_in_replica &replica, const std::string &model)
 {
-    if (!replica.rest.empty()) {
+    if (!replica.backoff.empty()) {
         return unavailable;
     }
     if (replica.hasEngine) {
@@ -323,25 +326,26 @@
     return replica.active + replica.waiting >= replica.slots + queueLength ? unavailable : done;
 }
 
-request_standing standingOf(const stand_in_replica &replica, std::uint64_t serving)
+request_state requestState(const stand_in_replica &replica, std::uint64_t serving)
 {
     if (!replica.isAlive) {
-        return request_standing::cut;
+        return request_state::cut;
     }
     if (replica.hasEngine && replica.serving != serving) {
         const bool isBroken = replica.membership && replica.membership->state == member_state::broken;
-        return isBroken ? request_standing::broken : request_standing::cut;
+        return isBroken ? request_state::broken : request_state::cut;
     }
     const bool isStalled = replica.hasEngine && replica.membership->stalledSince.has_value();
-    return isStalled || replica.isDark ? request_standing::stalls : request_standing::moves;
+    return isStalled || replica.isCutOff ? request_state::stalled : request_state::progressing;
 }
 
-bool isPartial(const replica_world &world, const stand_in_replica &head)
+bool isPartial(const replica_simulation &simulation, const stand_in_replica &head)
 {
-    const auto &place = *head.membership;
-    return place.members.size() != world.sizes.at(place.model)
-        || std::any_of(
-               place.members.begin(), place.members.end(), [&](const auto &id) { return !world.everReady.contains(placeName(place, id)); });
+    const auto &membership = *head.membership;
+    return membership.members.size() != simulation.sizes.at(membership.model)
+        || std::any_of(membership.members.begin(), membership.members.end(), [&](const auto &id) {
+               return !simulation.everReadyMemberships.contains(membershipKey(membership, id));
+           });
 }
 
 } // namespace vetchpost::test
--- a/Tests/StandIns/platform/replica_model.h
+++ b/Tests/StandIns/platform/replica_model.h
@@ -14,20 +14,20 @@
 
 namespace vetchpost::test {
 
-/// A replica's place in a group, as its last join gave it.
+/// A replica's membership of a group, as its last join order set it.
 struct stand_in_membership
 {
     std::string group;
     std::uint64_t epoch = 0;
     std::string model;
-    /// The head first.
+    /// Ids of the members, with the head first.
     std::vector<std::string> members;
     member_state state = member_state::joining;
-    /// When the place is taken; while joining.
+    /// When the member becomes ready; used while it is joining.
     instant readyAt;
-    /// When the head serves; while it is being opened.
+    /// When the head starts to serve; set while it is opening.
     std::optional<instant> opensAt;
-    /// Since when the head misses a member.
+    /// When the head lost contact with a member; empty while all are present.
     std::optional<instant> stalledSince;
 
     bool isSameFormation(const stand_in_membership &other) const
@@ -42,9 +42,9 @@
 
 struct stand_in_replica
 {
-    /// Of this life, or kept over several.
+    /// Identifies this incarnation; some replicas use the same id in several incarnations.
     std::string id;
-    /// When this life began, in Unix milliseconds.
+    /// When this incarnation started, in Unix milliseconds.
     std::uint64_t born = 0;
     std::string service;
     std::string domain;
@@ -52,28 +52,28 @@
     int slots = 0;
     bool hasEngine = false;
     bool isAlive = true;
-    /// Cut off from everything.
-    bool isDark = false;
+    /// Whether the replica is cut off from the network.
+    bool isCutOff = false;
     bool isDraining = false;
-    /// A factor on its times.
+    /// Factor by which the time between events of its streams is multiplied.
     double slowness = 1;
-    /// Requests a second from all daemons together, which its answers name.
+    /// Rate limit that its answers announce, in requests per second from all daemons together.
     std::optional<double> rateLimit;
-    /// It rejects what comes with this time of rest, as its answers write it; empty while it takes requests.
-    std::string rest;
-    /// Its answers say that it leaves, whatever its entry says.
-    bool saysLeaving = false;
+    /// Backoff that its refusals request, as written in the header; empty while the replica accepts requests.
+    std::string backoff;
+    /// Whether its answers announce that it is leaving, even if its entry does not.
+    bool announcesLeaving = false;
     std::optional<stand_in_membership> membership;
-    /// The model that its host holds.
+    /// The model whose weights its host holds.
     std::string staged;
-    /// The model of the last group in this life.
+    /// The model of the last group that this incarnation was ready in.
     std::string lastModel;
-    /// A load onto the host that is under way.
+    /// The model that is being loaded onto the host, and when the load ends.
     std::optional<std::pair<std::string, instant>> staging;
     std::uint64_t highestEpoch = 0;
-    /// Orders taken in this life.
+    /// Number of orders that this incarnation has accepted and that were not in effect already.
     std::uint64_t orders = 0;
-    /// Rises whenever what the replica serves is cut: requests of an earlier number end.
+    /// Increases whenever the requests at the replica are cut off: a request with an earlier number ends.
     std::uint64_t serving = 0;
     int active = 0;
     int waiting = 0;
@@ -88,44 +88,46 @@
     duration stall{1500};
 };
 
-/// One thing for the journal.
+/// An event to be written to the journal.
 struct replica_event
 {
     std::string what;
     Json::Value fields;
 };
 
-/// All replicas of the platform with the rules of their groups. Has no clock, thread or socket.
-struct replica_world
+/// All replicas of the platform, to which the functions below apply the rules of groups. Has no clock, thread or socket.
+struct replica_simulation
 {
     replica_timing timing;
-    /// How many replicas make a group of a model.
+    /// Number of replicas in a group, by model.
     std::map<std::string, unsigned> sizes;
     std::vector<stand_in_replica> replicas;
-    /// Places that were ready at some time, by group, epoch and replica: a group serves truly only if all of its were.
-    std::set<std::string> everReady;
+    /// Memberships that have been ready at some time, by group, epoch and replica. A group in which one has never been ready is partial.
+    std::set<std::string> everReadyMemberships;
     std::vector<replica_event> events;
 };
 
-/// How a request that was admitted stands.
-enum class request_standing { moves, stalls, broken, cut };
+/// State of an admitted request: it progresses, it is stalled, its group has broken, or it has been cut off.
+enum class request_state { progressing, stalled, broken, cut };
 
-stand_in_replica *findReplica(replica_world &world, const std::string &id);
-/// Lets time take effect: places that are ready, heads that open, stand still, break or have finished.
-void settle(replica_world &world, instant now);
-/// Carries out an order; returns the status of its answer.
-int takeOrder(replica_world &world, stand_in_replica &replica, const Json::Value &order, instant now);
-/// The end of a life, with or without notice.
-void endIncarnation(replica_world &world, stand_in_replica &replica);
+/// Returns the replica with the given id; null if there is none.
+stand_in_replica *findReplica(replica_simulation &simulation, const std::string &id);
+/// Applies all state changes due by \a now: loads that end, members that become ready, and heads that open, stall, break or close.
+void advance(replica_simulation &simulation, instant now);
+/// Executes an order; returns the HTTP status of its answer.
+int executeOrder(replica_simulation &simulation, stand_in_replica &replica, const Json::Value &order, instant now);
+/// Ends the replica's current incarnation, with or without notice.
+void endIncarnation(replica_simulation &simulation, stand_in_replica &replica);
 
-/// 200 where a request may wait at the replica, else the status of the refusal.
+/// Returns 200 if a request for the model may queue at the replica, otherwise the HTTP status of the refusal.
 int admissionStatus(const stand_in_replica &replica, const std::string &model);
-request_standing standingOf(const stand_in_replica &replica, std::uint64_t serving);
-/// Whether a request that runs at this head now runs in a group that lacks a member which was never ready.
-bool isPartial(const replica_world &world, const stand_in_replica &head);
+request_state requestState(const stand_in_replica &replica, std::uint64_t serving);
+/// Returns whether the head's group has the wrong size or a member that has never been ready.
+bool isPartial(const replica_simulation &simulation, const stand_in_replica &head);
 
-/// What the replica writes into the store.
+/// Returns the entry that the replica writes into the store.
 Json::Value entryOf(const stand_in_replica &replica);
+/// Returns the replica's answer to a probe: its entry with its load.
 Json::Value reportOf(const stand_in_replica &replica);
 
 } // namespace vetchpost::test
--- a/Tests/StandIns/platform/standInBalancer.cpp
+++ b/Tests/StandIns/platform/standInBalancer.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// A stand-in for the platform's balancer: passes new connections to daemons that say ready, and keeps open ones. Never installed.
+// A test stand-in for the platform's load balancer. New connections go to daemons that report ready; open connections stay with their
+// daemon. Never installed.
 #include "Libraries/Http/http_client.h"
 #include "Libraries/Http/poco_timespan.h"
 #include "Tests/StandIns/fault_switches.h"
@@ -20,25 +21,25 @@
 using namespace vetchpost;
 using namespace vetchpost::test;
 
-constexpr auto usage = R"(Stand-in for the platform's balancer.
+constexpr auto usage = R"(Stand-in for the platform's load balancer.
 
 Usage:
   standInBalancer --listen=<address> --control=<address> --daemons=<list>
 
 Options:
-  --daemons=<list>   Each daemon's addresses for callers and for readiness, as 127.0.0.1:1=127.0.0.1:2,...
+  --daemons=<list>   The addresses of each daemon for clients and for readiness, as 127.0.0.1:1=127.0.0.1:2,...
 )";
 
-constexpr duration askPeriod(1000);
-constexpr int missesUntilOut = 2;
+constexpr duration readinessPollPeriod(1000);
+constexpr int failuresUntilRemoval = 2;
 constexpr duration connectTimeout(1000);
 
 struct balanced_daemon
 {
     endpoint callers;
     endpoint readiness;
-    std::atomic<bool> isIn = false;
-    std::atomic<int> open = 0;
+    std::atomic<bool> isInRotation = false;
+    std::atomic<int> openConnections = 0;
 };
 
 class balancer_stand_in
@@ -55,16 +56,17 @@
             m_daemons.push_back(std::move(daemon));
         }
         for (auto &daemon : m_daemons) {
-            std::thread([this, &daemon = *daemon] { askForEver(daemon); }).detach();
+            std::thread([this, &daemon = *daemon] { pollReadiness(daemon); }).detach();
         }
     }
 
-    /// Daemons for a new connection, the first choice first: those that are in, or all where that is fewer than half of them.
-    std::vector<balanced_daemon *> choices()
+    /// Returns the daemons to try for a new connection, in order: the daemons in rotation, or all if fewer than half of them are in
+    /// rotation.
+    std::vector<balanced_daemon *> candidateDaemons()
     {
         std::vector<balanced_daemon *> in;
         for (const auto &daemon : m_daemons) {
-            if (daemon->isIn) {
+            if (daemon->isInRotation) {
                 in.push_back(daemon.get());
             }
         }
@@ -81,8 +83,8 @@
         Json::Value json;
         for (const auto &daemon : m_daemons) {
             auto &fact = json["daemons"][daemon->callers.text()];
-            fact["in"] = daemon->isIn.load();
-            fact["open"] = daemon->open.load();
+            fact["in"] = daemon->isInRotation.load();
+            fact["open"] = daemon->openConnections.load();
         }
         return json;
     }
@@ -93,25 +95,25 @@
     }
 
 private:
-    void askForEver(balanced_daemon &daemon)
+    void pollReadiness(balanced_daemon &daemon)
     {
         http_call call;
         call.to = daemon.readiness;
         call.target = "/readyz";
-        call.connectTimeout = call.receiveTimeout = askPeriod;
-        for (int misses = missesUntilOut;;) {
+        call.connectTimeout = call.receiveTimeout = readinessPollPeriod;
+        for (int failures = failuresUntilRemoval;;) {
             const auto start = monotonicNow();
             reason ignored;
             const auto reply = sendOnFreshConnection(call, ignored);
-            misses = reply && reply->isSuccess() ? 0 : misses + 1;
-            const bool isIn = misses == 0 || (daemon.isIn && misses < missesUntilOut);
-            if (isIn != daemon.isIn) {
-                daemon.isIn = isIn;
+            failures = reply && reply->isSuccess() ? 0 : failures + 1;
+            const bool isInRotation = failures == 0 || (daemon.isInRotation && failures < failuresUntilRemoval);
+            if (isInRotation != daemon.isInRotation) {
+                daemon.isInRotation = isInRotation;
                 Json::Value fields;
                 fields["daemon"] = daemon.callers.text();
-                m_journal.note(isIn ? "in" : "out", fields);
+                m_journal.recordEvent(isInRotation ? "in" : "out", fields);
             }
-            std::this_thread::sleep_for(std::max(duration(0), askPeriod - (monotonicNow() - start)));
+            std::this_thread::sleep_for(std::max(duration(0), readinessPollPeriod - (monotonicNow() - start)));
         }
     }
 
@@ -120,8 +122,8 @@
     event_journal m_journal;
 };
 
-/// Moves what has arrived to the other side; false once the connection is over.
-bool moveBytes(Poco::Net::StreamSocket &from, Poco::Net::StreamSocket &to)
+/// Forwards the bytes that have arrived to the other side; returns false once the sending side has closed.
+bool forwardBytes(Poco::Net::StreamSocket &from, Poco::Net::StreamSocket &to)
 {
     std::array<char, 16384> bytes{};
     const int count = from.receiveBytes(bytes.data(), bytes.size());
@@ -146,23 +148,23 @@
 
     void run() override
     {
-        for (auto *daemon : m_balancer.choices()) {
+        for (auto *daemon : m_balancer.candidateDaemons()) {
             Poco::Net::StreamSocket upstream;
             try {
                 upstream.connect(Poco::Net::SocketAddress(daemon->callers.host, daemon->callers.port), timespanOf(connectTimeout));
             } catch (const Poco::Exception &) {
                 continue;
             }
-            ++daemon->open;
-            pass(socket(), upstream);
-            --daemon->open;
+            ++daemon->openConnections;
+            forward(socket(), upstream);
+            --daemon->openConnections;
             return;
         }
     }
 
 private:
-    /// Until both sides have ended; a reset of one resets the other.
-    static void pass(Poco::Net::StreamSocket &client, Poco::Net::StreamSocket &upstream)
+    /// Forwards bytes between both sides until the daemon closes its side. A reset of one side resets the other.
+    static void forward(Poco::Net::StreamSocket &client, Poco::Net::StreamSocket &upstream)
     {
         try {
             client.setNoDelay(true);
@@ -172,11 +174,11 @@
                 if (poll(sides.data(), sides.size(), -1) < 0) {
                     return;
                 }
-                if (sides[0].revents != 0 && !moveBytes(client, upstream)) {
+                if (sides[0].revents != 0 && !forwardBytes(client, upstream)) {
                     sides[0].fd = -1;
                 }
-                if (sides[1].revents != 0 && !moveBytes(upstream, client)) {
-                    // A daemon that closes takes nothing more: its client learns that at once.
+                if (sides[1].revents != 0 && !forwardBytes(upstream, client)) {
+                    // A daemon that has closed accepts no more bytes, so its client's connection is closed at once.
                     return;
                 }
             }
@@ -214,12 +216,12 @@
     blockStopSignals();
     balancer_stand_in balancer(arguments.at("--daemons").asString());
     const auto address = [&](const char *option) { return parseEndpoint(arguments.at(option).asString()).value(); };
-    constexpr int mostConnections = 2000;
+    constexpr int maxConnections = 2000;
     constexpr int stackBytes = 256 * 1024;
-    Poco::ThreadPool threads("balancer", 2, mostConnections, 60, stackBytes);
+    Poco::ThreadPool threads("balancer", 2, maxConnections, 60, stackBytes);
     Poco::Net::TCPServerParams::Ptr parameters = new Poco::Net::TCPServerParams;
-    parameters->setMaxThreads(mostConnections);
-    parameters->setMaxQueued(mostConnections);
+    parameters->setMaxThreads(maxConnections);
+    parameters->setMaxQueued(maxConnections);
     const auto listen = address("--listen");
     const Poco::Net::ServerSocket listener(Poco::Net::SocketAddress(listen.host, listen.port));
     Poco::Net::TCPServer server(new balanced_connection_factory(balancer), threads, listener, parameters);
--- a/Tests/StandIns/platform/standInStore.cpp
+++ b/Tests/StandIns/platform/standInStore.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// A stand-in for the platform's metadata store. Never installed.
+// A test stand-in for the platform's metadata store. Never installed.
 #include "Tests/StandIns/fault_switches.h"
 #include "Tests/StandIns/platform/event_journal.h"
 #include "Tests/StandIns/platform/stand_in_names.h"
@@ -28,37 +28,37 @@
 constexpr int notFound = 404;
 constexpr int unavailable = 503;
 constexpr duration tick(20);
-constexpr std::uint64_t longestWatchMs = 30000;
+constexpr std::uint64_t maxWatchMs = 30000;
 
-/// Faults that daemons see. The operator and the replicas, whose calls carry the stand-in's own header, are served meanwhile.
+/// Faults that affect the calls of daemons. Calls of the operator and the replicas carry the stand-in's own header and are not affected.
 struct store_faults
 {
-    /// Calls are not answered at all.
+    /// Whether calls get no answer at all.
     std::atomic<bool> isSilent = false;
     std::atomic<bool> refuses = false;
     std::atomic<std::uint64_t> delayMs = 0;
     std::atomic<std::uint64_t> holdWatchesMs = 0;
-    /// Calls that are carried out without an answer.
-    fault_share loseAnswers;
-    /// So many of the next listings that must be current lose their answers.
+    /// Calls that take effect without an answer.
+    fault_probability loseAnswers;
+    /// Number of following listings that lose their answers, of those that must not be stale.
     std::atomic<std::int64_t> loseListings = 0;
-    /// Calls that are turned away.
-    fault_share deny;
+    /// Calls that are refused with status 503.
+    fault_probability deny;
 
     void set(const Json::Value &json)
     {
-        const auto whenGiven = [&](const char *name, auto &&assign) {
+        const auto ifPresent = [&](const char *name, auto &&assign) {
             if (json.isMember(name)) {
                 assign(json[name]);
             }
         };
-        whenGiven("silent", [&](const Json::Value &value) { isSilent = value.asBool(); });
-        whenGiven("refuse_503", [&](const Json::Value &value) { refuses = value.asBool(); });
-        whenGiven("slow_ms", [&](const Json::Value &value) { delayMs = value.asUInt64(); });
-        whenGiven("hold_watches_ms", [&](const Json::Value &value) { holdWatchesMs = value.asUInt64(); });
-        whenGiven("lose_answers", [&](const Json::Value &value) { loseAnswers.set(value); });
-        whenGiven("lose_listings", [&](const Json::Value &value) { loseListings = value.asInt64(); });
-        whenGiven("deny", [&](const Json::Value &value) { deny.set(value); });
+        ifPresent("silent", [&](const Json::Value &value) { isSilent = value.asBool(); });
+        ifPresent("refuse_503", [&](const Json::Value &value) { refuses = value.asBool(); });
+        ifPresent("slow_ms", [&](const Json::Value &value) { delayMs = value.asUInt64(); });
+        ifPresent("hold_watches_ms", [&](const Json::Value &value) { holdWatchesMs = value.asUInt64(); });
+        ifPresent("lose_answers", [&](const Json::Value &value) { loseAnswers.set(value); });
+        ifPresent("lose_listings", [&](const Json::Value &value) { loseListings = value.asInt64(); });
+        ifPresent("deny", [&](const Json::Value &value) { deny.set(value); });
     }
 };
 
@@ -81,17 +81,17 @@
 
     void handle(http_exchange &exchange)
     {
-        const bool isOwn = exchange.header(stand_in_names::ownCall) == stand_in_names::ownCallValue;
-        const auto body = bodyOf(exchange);
+        const bool isPrivileged = exchange.header(stand_in_names::ownCall) == stand_in_names::ownCallValue;
+        const auto body = readJsonBody(exchange);
         ++m_calls;
-        if (!isOwn && !passesFaults(exchange)) {
+        if (!isPrivileged && !admitCall(exchange)) {
             return;
         }
-        const auto answer = answerTo(exchange, body, isOwn);
-        if (!isOwn && m_faults.isSilent) {
-            staySilent(exchange, [this] { return !m_faults.isSilent; });
-        } else if (!isOwn && losesAnswer(exchange)) {
-            staySilent(exchange, [this] { return m_isStopping.load(); });
+        const auto answer = dispatch(exchange, body, isPrivileged);
+        if (!isPrivileged && m_faults.isSilent) {
+            leaveUnanswered(exchange, [this] { return !m_faults.isSilent; });
+        } else if (!isPrivileged && shouldLoseAnswer(exchange)) {
+            leaveUnanswered(exchange, [this] { return m_isStopping.load(); });
         } else {
             sendJson(exchange, answer.body, answer.status);
         }
@@ -102,7 +102,7 @@
         m_faults.set(json);
         if (jsonFlag(json, "forget_history")) {
             const std::lock_guard lock(m_mutex);
-            forgetHistory(m_store);
+            discardHistory(m_store);
         }
         m_changed.notify_all();
     }
@@ -131,13 +131,13 @@
     }
 
 private:
-    bool passesFaults(http_exchange &exchange)
+    bool admitCall(http_exchange &exchange)
     {
         if (m_faults.isSilent) {
-            staySilent(exchange, [this] { return !m_faults.isSilent; });
+            leaveUnanswered(exchange, [this] { return !m_faults.isSilent; });
             return false;
         }
-        if (m_faults.refuses || m_faults.deny.strikes()) {
+        if (m_faults.refuses || m_faults.deny.occurs()) {
             exchange.send(unavailable, "text/plain", "out of order\n");
             return false;
         }
@@ -145,13 +145,13 @@
         return true;
     }
 
-    bool losesAnswer(const http_exchange &exchange)
+    bool shouldLoseAnswer(const http_exchange &exchange)
     {
         const bool isListing = exchange.path() == names::rangeCall && exchange.queryParameter(names::mayBeStale).empty();
-        return m_faults.loseAnswers.strikes() || (isListing && m_faults.loseListings > 0 && m_faults.loseListings-- > 0);
+        return m_faults.loseAnswers.occurs() || (isListing && m_faults.loseListings > 0 && m_faults.loseListings-- > 0);
     }
 
-    store_answer answerTo(const http_exchange &exchange, const Json::Value &body, bool isOwn)
+    store_answer dispatch(const http_exchange &exchange, const Json::Value &body, bool isPrivileged)
     {
         const auto &path = exchange.path();
         if (path == names::watchCall) {
@@ -166,7 +166,7 @@
             return readRange(m_store, exchange.queryParameter(names::prefix), exchange.queryParameter(names::after));
         }
         if (path == names::transactionCall) {
-            return write(body, isOwn);
+            return write(body, isPrivileged);
         }
         if (path == names::grantLeaseCall) {
             return grantLease(m_store, body, monotonicNow());
@@ -187,18 +187,18 @@
         return lease_number(std::stoull("0" + path.substr(call.size())));
     }
 
-    store_answer write(const Json::Value &body, bool isOwn)
+    store_answer write(const Json::Value &body, bool isPrivileged)
     {
         if (!hasValidConfiguration(body)) {
             return {badRequest, {}};
         }
-        auto answer = transact(m_store, body, isOwn);
+        auto answer = transact(m_store, body, isPrivileged);
         if (answer.status == 200) {
             for (const auto &written : jsonArray(body, names::writes)) {
-                noteAcknowledged(jsonString(written, names::key), answer, isOwn);
+                recordAcknowledgement(jsonString(written, names::key), answer, isPrivileged);
             }
             for (const auto &removal : jsonArray(body, names::removals)) {
-                noteAcknowledged(removal.asString(), answer, isOwn);
+                recordAcknowledgement(removal.asString(), answer, isPrivileged);
             }
             m_changed.notify_all();
         }
@@ -217,20 +217,20 @@
         return true;
     }
 
-    void noteAcknowledged(const std::string &key, const store_answer &answer, bool isOwn)
+    void recordAcknowledgement(const std::string &key, const store_answer &answer, bool isPrivileged)
     {
         Json::Value fields;
         fields["key"] = key;
         fields["revision"] = answer.body[names::revision];
-        fields["who"] = !isOwn ? "daemon" : key.starts_with(names::replicaPrefix) ? "replica" : "operator";
-        m_journal.note("acked", fields);
+        fields["who"] = !isPrivileged ? "daemon" : key.starts_with(names::replicaPrefix) ? "replica" : "operator";
+        m_journal.recordEvent("acked", fields);
     }
 
     store_answer watch(const http_exchange &exchange)
     {
         const auto prefix = exchange.queryParameter(names::prefix);
         const auto after = std::stoull("0" + exchange.queryParameter(names::after));
-        const auto wait = std::min<std::uint64_t>(longestWatchMs, std::stoull("0" + exchange.queryParameter(names::waitTime)));
+        const auto wait = std::min<std::uint64_t>(maxWatchMs, std::stoull("0" + exchange.queryParameter(names::waitTime)));
         store_answer answer;
         {
             std::unique_lock lock(m_mutex);
@@ -243,14 +243,14 @@
         return answer;
     }
 
-    /// Called with the mutex held.
+    /// Removes the keys of expired leases. The caller holds m_mutex.
     void expire()
     {
         const auto ended = expireLeases(m_store, monotonicNow());
         for (const auto lease : ended) {
             Json::Value fields;
             fields["lease"] = Json::UInt64(lease.value());
-            m_journal.note("lease_ended", fields);
+            m_journal.recordEvent("lease_ended", fields);
         }
         if (!ended.empty()) {
             m_changed.notify_all();
@@ -293,6 +293,6 @@
     const auto control = serveControl(
         address("--control"), store.journal(), [&](const Json::Value &json) { store.setFaults(json); }, [&] { return store.facts(); });
     waitForStop();
-    // Watches that wait end with the process.
+    // Exits without waiting for pending watches.
     std::_Exit(0);
 }
--- a/Tests/StandIns/platform/stand_in_names.h
+++ b/Tests/StandIns/platform/stand_in_names.h
@@ -3,18 +3,18 @@
 
 #include "platform/names.h"
 
-/// Names of the platform's wire that only replicas and the store write; all others are the adapter's.
+/// Names in the platform's protocol that only replicas and the store write; the adapter declares all others.
 namespace vetchpost::test::stand_in_names {
 
 constexpr auto created = "Created";
 constexpr auto instance = "Instance-Id";
-/// The replica at fault.
+/// The replica that caused an error.
 constexpr auto faultyReplica = "At-Server";
 constexpr auto weightVersions = "Weight-Versions";
-/// Tokens of the prompt and most tokens of the answer.
+/// Number of tokens of the prompt, and maximum number of tokens of the answer.
 constexpr auto tokenCounts = "Token-Counts";
 constexpr auto operatorPrefix = "op/";
-/// Marks calls of the stand-in's own replicas and operator.
+/// Header that marks calls of the stand-in replicas and operator.
 constexpr auto ownCall = "X-Stand-In";
 constexpr auto ownCallValue = "yes";
 /// The name of the stand-in's service with engines.
--- a/Tests/StandIns/platform/store_model.cpp
+++ b/Tests/StandIns/platform/store_model.cpp
@@ -17,17 +17,17 @@
 constexpr int notFound = 404;
 constexpr int historyGone = 410;
 constexpr int preconditionFailed = 412;
-/// The platform's limits of one transaction and one page.
-constexpr unsigned mostEntries = 32;
-constexpr unsigned pageEntries = 500;
-constexpr std::size_t longestKey = 200;
-constexpr std::uint64_t shortestLeaseMs = 1000;
-constexpr std::uint64_t longestLeaseMs = 600000;
-/// Changes that are remembered; the older half goes once there are more.
-constexpr std::size_t mostChanges = 20000;
-constexpr char valueSign = '=';
-
-Json::Value itemOf(const store_model &store, const std::string &key)
+/// The platform's limits for a transaction and a page.
+constexpr unsigned maxEntriesPerTransaction = 32;
+constexpr unsigned maxEntriesPerPage = 500;
+constexpr std::size_t maxKeyLength = 200;
+constexpr std::uint64_t minLeaseMs = 1000;
+constexpr std::uint64_t maxLeaseMs = 600000;
+/// Maximum number of stored changes; beyond it the older half is discarded.
+constexpr std::size_t maxChanges = 20000;
+constexpr char valueMarker = '=';
+
+Json::Value makeItem(const store_model &store, const std::string &key)
 {
     Json::Value json;
     json[names::key] = key;
@@ -42,7 +42,7 @@
     return json;
 }
 
-Json::Value eventOf(const key_value_entry &change)
+Json::Value makeEvent(const key_value_entry &change)
 {
     Json::Value json;
     json[names::key] = change.key;
@@ -58,24 +58,24 @@
 void limitHistory(store_model &store)
 {
     auto &changes = store.keys.changes;
-    if (changes.size() > mostChanges) {
-        const auto half = changes.begin() + mostChanges / 2;
-        store.forgottenUpTo = (half - 1)->changed.value();
+    if (changes.size() > maxChanges) {
+        const auto half = changes.begin() + maxChanges / 2;
+        store.discardedUpTo = (half - 1)->changed.value();
         changes.erase(changes.begin(), half);
     }
 }
 
-/// 400, 403 or 404 where a transaction cannot be tried at all; 200 otherwise.
-int faultOf(const store_model &store, const Json::Value &transaction, bool mayWriteReserved)
+/// Returns 400, 403 or 404 if a transaction is invalid, whatever its conditions; 200 otherwise.
+int validationStatus(const store_model &store, const Json::Value &transaction, bool mayWriteReserved)
 {
     const auto &writes = jsonArray(transaction, names::writes);
     const auto &removals = jsonArray(transaction, names::removals);
-    if (jsonArray(transaction, names::expected).size() + writes.size() + removals.size() > mostEntries) {
+    if (jsonArray(transaction, names::expected).size() + writes.size() + removals.size() > maxEntriesPerTransaction) {
         return badRequest;
     }
     int status = 200;
     const auto checkKey = [&](const std::string &key) {
-        if (key.empty() || key.size() > longestKey) {
+        if (key.empty() || key.size() > maxKeyLength) {
             status = badRequest;
         } else if (isReservedKey(key) && !mayWriteReserved) {
             status = forbidden;
@@ -94,13 +94,13 @@
     return status;
 }
 
-/// The entries of the conditions as they are; empty where all conditions hold.
-Json::Value conflictsOf(const store_model &store, const Json::Value &transaction)
+/// Returns the current entries of all keys that have conditions; empty if all conditions hold.
+Json::Value findConflicts(const store_model &store, const Json::Value &transaction)
 {
     Json::Value entries(Json::arrayValue);
     bool isMet = true;
     for (const auto &condition : jsonArray(transaction, names::expected)) {
-        entries.append(itemOf(store, jsonString(condition, names::key)));
+        entries.append(makeItem(store, jsonString(condition, names::key)));
         isMet = isMet && jsonNumber(entries[entries.size() - 1], names::revision) == jsonNumber(condition, names::revision);
     }
     return isMet ? Json::Value(Json::arrayValue) : entries;
@@ -118,7 +118,7 @@
     if (!store.keys.entries.contains(key)) {
         return {notFound, {}};
     }
-    store_answer answer{200, itemOf(store, key)};
+    store_answer answer{200, makeItem(store, key)};
     answer.body[names::storeRevision] = Json::UInt64(store.keys.lastRevision);
     return answer;
 }
@@ -137,18 +137,18 @@
         if (entry->first <= lastKey) {
             continue;
         }
-        if (entries.size() == pageEntries) {
+        if (entries.size() == maxEntriesPerPage) {
             answer.body[names::morePages] = true;
             break;
         }
-        entries.append(itemOf(store, entry->first));
+        entries.append(makeItem(store, entry->first));
     }
     return answer;
 }
 
 store_answer readChanges(const store_model &store, const std::string &prefix, std::uint64_t after)
 {
-    if (after < store.forgottenUpTo) {
+    if (after < store.discardedUpTo) {
         return {historyGone, {}};
     }
     store_answer answer;
@@ -160,7 +160,7 @@
     });
     for (auto change = first; change != changes.end(); ++change) {
         if (change->key.starts_with(prefix)) {
-            answer.body[names::events].append(eventOf(*change));
+            answer.body[names::events].append(makeEvent(*change));
         }
     }
     return answer;
@@ -168,12 +168,12 @@
 
 store_answer transact(store_model &store, const Json::Value &transaction, bool mayWriteReserved)
 {
-    const int fault = faultOf(store, transaction, mayWriteReserved);
+    const int fault = validationStatus(store, transaction, mayWriteReserved);
     if (fault != 200) {
         return {fault, {}};
     }
     store_answer answer;
-    if (const auto conflicts = conflictsOf(store, transaction); !conflicts.empty()) {
+    if (const auto conflicts = findConflicts(store, transaction); !conflicts.empty()) {
         answer.status = preconditionFailed;
         answer.body[names::entries] = conflicts;
         return answer;
@@ -181,7 +181,7 @@
     const key_revision revision(++store.keys.lastRevision);
     for (const auto &write : jsonArray(transaction, names::writes)) {
         const auto key = jsonString(write, names::key);
-        const auto value = valueSign + jsonString(write, names::value);
+        const auto value = valueMarker + jsonString(write, names::value);
         if (!store.keys.entries.contains(key)) {
             store.created[key] = revision.value();
         }
@@ -200,7 +200,7 @@
 
 store_answer grantLease(store_model &store, const Json::Value &call, instant now)
 {
-    const auto time = std::clamp(jsonNumber(call, names::leaseTime), shortestLeaseMs, longestLeaseMs);
+    const auto time = std::clamp(jsonNumber(call, names::leaseTime), minLeaseMs, maxLeaseMs);
     store_answer answer;
     answer.body[names::lease] = Json::UInt64(store.keys.grant(duration(time), now).value());
     answer.body[names::leaseTime] = Json::UInt64(time);
@@ -238,10 +238,10 @@
     store.keys.expire(now);
 }
 
-void forgetHistory(store_model &store)
+void discardHistory(store_model &store)
 {
     store.keys.changes.clear();
-    store.forgottenUpTo = store.keys.lastRevision;
+    store.discardedUpTo = store.keys.lastRevision;
 }
 
 } // namespace vetchpost::test
--- a/Tests/StandIns/platform/store_model.h
+++ b/Tests/StandIns/platform/store_model.h
@@ -7,14 +7,14 @@
 
 namespace vetchpost::test {
 
-/// The platform's store by the words of its wire, over the fake that the fuzzers use. Values stay in base64, with a sign before them that
-/// tells an empty value from a removal.
+/// The platform's store in terms of its protocol, built on the fake store that the fuzzers use. Values stay in base64, after a marker
+/// character that distinguishes an empty value from a removal.
 struct store_model
 {
     fake_key_value_store keys;
     std::map<std::string, std::uint64_t> created;
-    /// Changes up to this revision are no longer known.
-    std::uint64_t forgottenUpTo = 0;
+    /// Last revision whose changes have been discarded.
+    std::uint64_t discardedUpTo = 0;
 };
 
 struct store_answer
@@ -23,21 +23,22 @@
     Json::Value body = Json::Value(Json::objectValue);
 };
 
-/// Whether only the operator and the replicas may write the key.
+/// Returns whether only the operator and the replicas may write the key.
 bool isReservedKey(const std::string &key);
 
+/// Returns the entry of a key; 404 if there is none.
 store_answer readKey(const store_model &store, const std::string &key);
-/// A page of the keys that begin with \a prefix, after \a lastKey.
+/// Returns a page of the entries whose keys start with \a prefix and follow \a lastKey.
 store_answer readRange(const store_model &store, const std::string &prefix, const std::string &lastKey);
-/// The changes under \a prefix after a revision; 410 where they are no longer known.
+/// Returns the changes under \a prefix after a revision; 410 if they have been discarded.
 store_answer readChanges(const store_model &store, const std::string &prefix, std::uint64_t after);
-/// Does all of a transaction or nothing.
+/// Applies a transaction completely or not at all; 412 with the current entries if one of its conditions does not hold.
 store_answer transact(store_model &store, const Json::Value &transaction, bool mayWriteReserved);
 store_answer grantLease(store_model &store, const Json::Value &call, instant now);
 store_answer renewLease(store_model &store, lease_number lease, instant now);
-/// Removes the keys of leases that have lapsed; returns those leases.
+/// Removes the keys of expired leases; returns these leases.
 std::vector<lease_number> expireLeases(store_model &store, instant now);
 void endLease(store_model &store, lease_number lease, instant now);
-void forgetHistory(store_model &store);
+void discardHistory(store_model &store);
 
 } // namespace vetchpost::test
--- a/Tests/StandIns/standInEngine.cpp
+++ b/Tests/StandIns/standInEngine.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// A stand-in for one instance with a model engine. Never installed.
+// A test stand-in for an instance that runs a model engine. Never installed.
 #include "Tests/StandIns/engineModel.h"
 #include "Tests/StandIns/fault_switches.h"
 
@@ -17,27 +17,27 @@
   standInEngine [options] INSTANCE ADDRESS
 
 Options:
-  --ignore-fencing      Obey orders with old fencing numbers.
-  --load-ms MS          How long weights take to load [default: 500].
-  --first-token-ms MS   How long the first token takes [default: 30].
-  --token-gap-ms MS     How long each further token takes [default: 20].
-  --most-running N      More requests at a time are refused [default: 4000].
+  --ignore-fencing      Accept orders with old fencing numbers.
+  --load-ms MS          Time to load weights [default: 500].
+  --first-token-ms MS   Time to the first token [default: 30].
+  --token-gap-ms MS     Time between tokens [default: 20].
+  --most-running N      Maximum number of concurrent requests; others are refused [default: 4000].
 )";
 
 constexpr int notFound = 404;
 constexpr int conflict = 409;
 constexpr int serviceUnavailable = 503;
 
-/// Faults of streams, set by POST /faults beside the usual ones.
+/// Faults of streams, which POST /faults sets in addition to fault_switches.
 struct stream_faults
 {
-    /// The connection breaks after so many tokens; 0 for never.
+    /// Number of tokens after which the connection is closed; 0 for never.
     std::atomic<std::uint64_t> breakAfter = 0;
-    /// The end marker is left out.
+    /// Whether the end marker is omitted.
     std::atomic<bool> omitEnd = false;
-    /// Pieces carry another request's id.
+    /// Whether chunks carry the id of another request.
     std::atomic<bool> useForeignId = false;
-    /// Streams that broke cannot be taken up.
+    /// Whether requests to resume a broken stream are refused.
     std::atomic<bool> refuseResume = false;
 
     void set(const Json::Value &json)
@@ -62,14 +62,14 @@
         if (exchange.path() == "/faults" && exchange.method() == "GET") {
             sendJson(exchange, m_faults.counts());
         } else if (exchange.path() == "/faults") {
-            const auto body = bodyOf(exchange);
+            const auto body = readJsonBody(exchange);
             m_faults.set(body);
             m_streamFaults.set(body);
             m_model.setLeaving(jsonFlag(body, "leaving"));
             sendJson(exchange, Json::Value(Json::objectValue));
         } else if (exchange.path() == "/runs") {
             showRuns(exchange);
-        } else if ((m_faults.restSeconds != 0 && exchange.path() != "/v1/completions") || m_faults.before(exchange)) {
+        } else if ((m_faults.backoffSeconds != 0 && exchange.path() != "/v1/completions") || m_faults.applyBeforeCall(exchange)) {
             answer(exchange);
         }
     }
@@ -81,23 +81,23 @@
         if (path == "/v1/state") {
             sendJson(exchange, toJson(m_model.state(monotonicNow())));
         } else if (path == "/v1/orders") {
-            takeOrder(exchange);
+            acceptOrder(exchange);
         } else if (path == "/v1/completions") {
             complete(exchange);
         } else if (path == "/v1/resume") {
             resume(exchange);
         } else if (path == "/v1/cancel") {
-            m_model.cancel(jsonString(bodyOf(exchange), "request_id"));
+            m_model.cancel(jsonString(readJsonBody(exchange), "request_id"));
             sendJson(exchange, Json::Value(Json::objectValue));
         } else {
             exchange.send(notFound, "text/plain", "nothing here\n");
         }
     }
 
-    void takeOrder(http_exchange &exchange)
+    void acceptOrder(http_exchange &exchange)
     {
-        const auto order = engineOrderFrom(bodyOf(exchange));
-        if (!order || !m_model.takeOrder(*order, monotonicNow())) {
+        const auto order = engineOrderFrom(readJsonBody(exchange));
+        if (!order || !m_model.acceptOrder(*order, monotonicNow())) {
             sendJson(exchange, Json::Value(Json::objectValue), conflict);
             return;
         }
@@ -123,45 +123,45 @@
 
     void complete(http_exchange &exchange)
     {
-        const auto call = bodyOf(exchange);
-        std::string whyNot;
-        const auto made = m_model.begin(call, monotonicNow(), whyNot);
-        if (!made) {
-            refuse(exchange, serviceUnavailable, whyNot);
+        const auto call = readJsonBody(exchange);
+        std::string refusalReason;
+        const auto generated = m_model.startAnswer(call, monotonicNow(), refusalReason);
+        if (!generated) {
+            refuse(exchange, serviceUnavailable, refusalReason);
             return;
         }
         const auto request = jsonString(call, "request_id");
-        stream(exchange, request, *made, made->firstIndex);
-        m_model.end(request);
+        stream(exchange, request, *generated, generated->firstIndex);
+        m_model.finishAnswer(request);
     }
 
     void resume(http_exchange &exchange)
     {
-        const auto call = bodyOf(exchange);
+        const auto call = readJsonBody(exchange);
         const auto request = jsonString(call, "request_id");
-        const auto made = m_model.find(request);
-        if (!made || m_streamFaults.refuseResume) {
+        const auto generated = m_model.findAnswer(request);
+        if (!generated || m_streamFaults.refuseResume) {
             exchange.send(notFound, "text/plain", "no such stream\n");
             return;
         }
-        stream(exchange, request, *made, jsonNumber(call, "first_index"));
+        stream(exchange, request, *generated, jsonNumber(call, "first_index"));
     }
 
-    void stream(http_exchange &exchange, const std::string &request, const made_answer &made, std::uint64_t from)
+    void stream(http_exchange &exchange, const std::string &request, const generated_answer &generated, std::uint64_t from)
     {
         const auto present = m_model.state(monotonicNow());
         const auto &options = m_model.options();
         exchange.beginStream(200, "text/event-stream");
         const auto id = m_streamFaults.useForeignId ? "another-" + request : request;
         std::uint64_t sent = 0;
-        for (auto index = from; index < made.words.size(); ++index) {
-            const auto due = made.begun + options.firstToken + options.tokenGap * (index - made.firstIndex);
+        for (auto index = from; index < generated.words.size(); ++index) {
+            const auto due = generated.startedAt + options.firstTokenDelay + options.tokenGap * (index - generated.firstIndex);
             std::this_thread::sleep_for(due - monotonicNow());
             if (m_model.isCancelled(request)) {
                 exchange.abort();
                 return;
             }
-            const bool isLast = index + 1 == made.words.size();
+            const bool isLast = index + 1 == generated.words.size();
             const auto piece
                 = fmt::format(R"(data: {{"request_id":"{}","group":"{}","generation":{},"index":{},"text":{},"finish_reason":"{}"}})"
                               "\n\n",
@@ -169,7 +169,7 @@
                               present.group.value(),
                               present.confirmed.value(),
                               index,
-                              toJsonText(made.words[index]),
+                              toJsonText(generated.words[index]),
                               isLast ? "stop" : "");
             if (!exchange.write(piece)) {
                 return;
@@ -201,12 +201,12 @@
     const auto number = [&](const char *name) { return static_cast<int>(arguments.at(name).asLong()); };
     options.checksFencing = !arguments.at("--ignore-fencing").asBool();
     options.loadTime = duration(number("--load-ms"));
-    options.firstToken = duration(number("--first-token-ms"));
+    options.firstTokenDelay = duration(number("--first-token-ms"));
     options.tokenGap = duration(number("--token-gap-ms"));
-    options.mostRunning = number("--most-running");
+    options.maxRunning = number("--most-running");
     engine_stand_in engine(instance_id(arguments.at("INSTANCE").asString()), options);
     http_server_limits limits;
-    limits.maximumThreads = options.mostRunning + 64;
+    limits.maximumThreads = options.maxRunning + 64;
     limits.maximumQueued = limits.maximumThreads;
     const auto address = parseEndpoint(arguments.at("ADDRESS").asString()).value();
     const http_server server(address, limits, [&](http_exchange &exchange) { engine.handle(exchange); });
--- a/Tests/StandIns/standInPlatform.cpp
+++ b/Tests/StandIns/standInPlatform.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// A stand-in for the platform: key-value service, instance list and weight store on three ports. Never installed.
+// A test stand-in for the platform: key-value service, instance list and weight store on three ports. Never installed.
 #include "Tests/Fakes/fake_key_value_store.h"
 #include "Tests/StandIns/fault_switches.h"
 
@@ -30,13 +30,13 @@
     void handle(http_exchange &exchange)
     {
         if (exchange.path() == "/faults") {
-            m_faults.set(bodyOf(exchange));
+            m_faults.set(readJsonBody(exchange));
             sendJson(exchange, Json::Value(Json::objectValue));
         } else if (exchange.path() == "/calls") {
             Json::Value json;
             json["calls"] = Json::UInt64(m_calls.load());
             sendJson(exchange, json);
-        } else if (m_faults.before(exchange)) {
+        } else if (m_faults.applyBeforeCall(exchange)) {
             ++m_calls;
             answer(exchange);
         }
@@ -97,7 +97,7 @@
 
     void swap(http_exchange &exchange)
     {
-        const auto body = bodyOf(exchange);
+        const auto body = readJsonBody(exchange);
         swap_result result;
         {
             const std::lock_guard lock(m_mutex);
@@ -119,7 +119,7 @@
 
     void grant(http_exchange &exchange)
     {
-        const auto body = bodyOf(exchange);
+        const auto body = readJsonBody(exchange);
         const std::lock_guard lock(m_mutex);
         Json::Value json;
         json["lease"] = Json::UInt64(m_store.grant(duration(jsonNumber(body, "time_ms")), monotonicNow()).value());
@@ -128,7 +128,7 @@
 
     void renew(http_exchange &exchange, std::uint64_t lease)
     {
-        bodyOf(exchange);
+        readJsonBody(exchange);
         const std::lock_guard lock(m_mutex);
         m_store.expire(monotonicNow());
         const bool isRenewed = m_store.renew(lease_number(lease), monotonicNow());
@@ -163,19 +163,19 @@
     fake_key_value_store m_store;
 };
 
-/// The list is what POST /v1/instances last said of each instance; it may lag on purpose.
+/// Lists each instance as the last POST /v1/instances described it, so that a test can make the list lag behind.
 class instance_list_stand_in
 {
 public:
     void handle(http_exchange &exchange)
     {
         if (exchange.path() == "/faults") {
-            m_faults.set(bodyOf(exchange));
+            m_faults.set(readJsonBody(exchange));
             sendJson(exchange, Json::Value(Json::objectValue));
         } else if (exchange.method() == "POST") {
-            put(bodyOf(exchange));
+            put(readJsonBody(exchange));
             sendJson(exchange, Json::Value(Json::objectValue));
-        } else if (m_faults.before(exchange)) {
+        } else if (m_faults.applyBeforeCall(exchange)) {
             list(exchange);
         }
     }
--- a/Tests/StandIns/standInService.cpp
+++ b/Tests/StandIns/standInService.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// A stand-in for one instance of a plain service: it books work orders and counts them. Never installed.
+// A test stand-in for an instance of a plain service, which books work orders and counts them. Never installed.
 #include "Tests/StandIns/fault_switches.h"
 
 #include <docopt/docopt.h>
@@ -35,7 +35,7 @@
             return;
         }
         if (exchange.path() == "/faults") {
-            m_faults.set(bodyOf(exchange));
+            m_faults.set(readJsonBody(exchange));
             sendJson(exchange, Json::Value(Json::objectValue));
             return;
         }
@@ -43,7 +43,7 @@
             showBooked(exchange);
             return;
         }
-        if (!m_faults.before(exchange)) {
+        if (!m_faults.applyBeforeCall(exchange)) {
             return;
         }
         exchange.setHeader("X-Request-Id", exchange.header("X-Request-Id"));
@@ -60,7 +60,7 @@
 private:
     void book(http_exchange &exchange)
     {
-        const auto body = bodyOf(exchange);
+        const auto body = readJsonBody(exchange);
         int number = 0;
         {
             const std::lock_guard lock(m_mutex);
