--- a/Benchmarks/benchCrashes.cpp
+++ b/Benchmarks/benchCrashes.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// What it costs a daemon to know requests again and to keep the table of those under which replicas ended: for each request while all is
-// well, for each lost one, and for telling the neighbours.
+// Measures what crash tracking costs a daemon: computing the identity by which a repeated request is recognised, and maintaining the table
+// of suspects (requests during which replicas terminated) for each completed request, each lost request and each sync with the followers.
 #include "Benchmarks/figure.h"
 #include "Libraries/Entry/shared_suspects.h"
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr int rounds = 20000;
+constexpr int repetitions = 20000;
 constexpr double microsecondsPerSecond = 1e6;
 
 template <class Work>
@@ -24,7 +24,7 @@
     printFigure({name, (processorSeconds() - before) * microsecondsPerSecond / count, "us", {}, {}});
 }
 
-request_identity named(int number)
+request_identity identityFor(int number)
 {
     return request_identity(fmt::format("{:032x}", number));
 }
@@ -33,7 +33,7 @@
 {
     const std::string body(bytes, 'x');
     const identifying_parts parts{organisation_id("organisation"), "POST", "desk.example", "/notices/2f", body};
-    measure(fmt::format("identity_{}_bytes", bytes), rounds, [&](int /*number*/) { identityOf(key, parts); });
+    measure(fmt::format("identity_{}_bytes", bytes), repetitions, [&](int /*number*/) { identityOf(key, parts); });
 }
 
 } // namespace
@@ -48,21 +48,21 @@
     shared_suspects suspects(counters);
     const organisation_id organisation("organisation");
     const auto memoryBefore = residentKilobytes();
-    measure("answered_calm", rounds, [&](int number) { suspects.recordCompletion(named(number)); });
+    measure("answered_calm", repetitions, [&](int number) { suspects.recordCompletion(identityFor(number)); });
     measure("end_noted", static_cast<int>(maxSuspects), [&](int number) {
-        suspects.recordReplicaEnd(named(number), organisation, replicaEndOf("i-1", static_cast<std::uint64_t>(number)));
+        suspects.recordReplicaEnd(identityFor(number), organisation, replicaEndOf("i-1", static_cast<std::uint64_t>(number)));
     });
     measure("end_noted_full_table", 2000, [&](int number) {
-        suspects.recordReplicaEnd(named(rounds + number), organisation, replicaEndOf("i-2", static_cast<std::uint64_t>(number)));
+        suspects.recordReplicaEnd(identityFor(repetitions + number), organisation, replicaEndOf("i-2", static_cast<std::uint64_t>(number)));
     });
-    measure("refusal_asked_full_table", rounds, [&](int number) { suspects.refusedFor(named(number)); });
-    measure("answered_full_table", rounds, [&](int number) { suspects.recordCompletion(named(number)); });
+    measure("refusal_asked_full_table", repetitions, [&](int number) { suspects.refusedFor(identityFor(number)); });
+    measure("answered_full_table", repetitions, [&](int number) { suspects.recordCompletion(identityFor(number)); });
     std::vector<endpoint> followers;
     for (std::uint16_t number = 0; number < 25; ++number) {
         followers.push_back({"10.0.0.1", number});
     }
     suspects.dueBatches(std::nullopt, followers);
-    measure("nothing_due_25_followers", rounds, [&](int /*number*/) { suspects.dueBatches(std::nullopt, followers); });
+    measure("nothing_due_25_followers", repetitions, [&](int /*number*/) { suspects.dueBatches(std::nullopt, followers); });
     printFigure({"table_memory", residentKilobytes() - memoryBefore, "KB", {}, {}});
     return 0;
 }
--- a/Benchmarks/benchLimits.cpp
+++ b/Benchmarks/benchLimits.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-// Ways for many daemons to keep to the limit that one replica has named: how much of it they use, and the most that the replica gets in
-// four seconds. Every daemon is told within a fifth of a second; requests come unevenly to the daemons, twice the limit or more in all.
+// Compares methods by which many daemons keep to the rate limit that one replica has announced: the share of the limit that they use, and
+// the maximum number of requests that the replica gets in four seconds. In the methods with fixed shares each daemon learns of the limit
+// within 200 ms. The demand is uneven over the daemons and at least twice the limit in total.
 #include "Benchmarks/figure.h"
 #include "Libraries/Requests/rate_permits.h"
 
@@ -17,75 +18,75 @@
 
 namespace {
 
-constexpr duration played(120000);
+constexpr duration simulatedTime(120000);
 constexpr duration tick(10);
 constexpr duration window(4000);
-constexpr duration tellingTime(200);
+constexpr duration maxReportDelay(200);
 constexpr double windowSeconds = 4;
 constexpr double allowedFactor = 1.5;
 constexpr double allowedSlack = 5;
 constexpr double ticksPerSecond = 100;
-constexpr double perDaemon = 4;
+constexpr double demandPerDaemon = 4;
 
-struct case_of_limit
+struct limit_case
 {
     int daemons = 0;
     double limit = 0;
 };
 
-/// Whether a request at this daemon may go to the replica now.
+/// Decides whether a request at this daemon may be sent to the replica now.
 using admission = std::function<bool(int daemon, instant now)>;
 
 struct outcome
 {
-    double used = 0;
-    int most = 0;
+    double usedShare = 0;
+    int maxInWindow = 0;
 };
 
-/// The busiest daemon gets four times what the quietest gets.
-std::vector<double> demandOf(const case_of_limit &play)
+/// Returns the demand of each daemon in requests per second. The busiest daemon has four times the demand of the least busy one.
+std::vector<double> demandOf(const limit_case &limitCase)
 {
-    const auto total = std::max(2 * play.limit, perDaemon * play.daemons);
+    const auto total = std::max(2 * limitCase.limit, demandPerDaemon * limitCase.daemons);
     std::vector<double> demand;
     double sum = 0;
-    for (int daemon = 0; daemon < play.daemons; ++daemon) {
-        demand.push_back(1 + 3.0 * daemon / std::max(1, play.daemons - 1));
+    for (int daemon = 0; daemon < limitCase.daemons; ++daemon) {
+        demand.push_back(1 + 3.0 * daemon / std::max(1, limitCase.daemons - 1));
         sum += demand.back();
     }
-    for (auto &part : demand) {
-        part *= total / sum;
+    for (auto &share : demand) {
+        share *= total / sum;
     }
     return demand;
 }
 
-outcome run(const case_of_limit &play, const admission &isAdmitted)
+outcome run(const limit_case &limitCase, const admission &isAdmitted)
 {
     std::mt19937 random(11);
-    const auto demand = demandOf(play);
+    const auto demand = demandOf(limitCase);
     std::deque<instant> inWindow;
     outcome result;
-    int reached = 0;
+    int admittedCount = 0;
     const instant start{duration(1000000)};
-    for (auto now = start; now < start + played; now += tick) {
-        for (int daemon = 0; daemon < play.daemons; ++daemon) {
+    for (auto now = start; now < start + simulatedTime; now += tick) {
+        for (int daemon = 0; daemon < limitCase.daemons; ++daemon) {
             const auto expected = demand[static_cast<std::size_t>(daemon)] / ticksPerSecond;
             for (int left = std::poisson_distribution<int>(expected)(random); left > 0; --left) {
                 if (isAdmitted(daemon, now)) {
                     inWindow.push_back(now);
-                    ++reached;
+                    ++admittedCount;
                 }
             }
         }
         while (!inWindow.empty() && now - inWindow.front() >= window) {
             inWindow.pop_front();
         }
-        result.most = std::max(result.most, static_cast<int>(inWindow.size()));
+        result.maxInWindow = std::max(result.maxInWindow, static_cast<int>(inWindow.size()));
     }
-    result.used = reached / secondsOf(played) / play.limit;
+    result.usedShare = admittedCount / secondsOf(simulatedTime) / limitCase.limit;
     return result;
 }
 
-struct bucket
+struct token_bucket
 {
     double perSecond = 0;
     double capacity = 1;
@@ -93,59 +94,59 @@
     instant filledAt;
 };
 
-bool take(bucket &from, instant now)
+bool consume(token_bucket &bucket, instant now)
 {
-    from.available = std::min(from.capacity, from.available + from.perSecond * std::max(0.0, secondsOf(now - from.filledAt)));
-    from.filledAt = std::max(from.filledAt, now);
-    if (from.available < 1) {
+    bucket.available = std::min(bucket.capacity, bucket.available + bucket.perSecond * std::max(0.0, secondsOf(now - bucket.filledAt)));
+    bucket.filledAt = std::max(bucket.filledAt, now);
+    if (bucket.available < 1) {
         return false;
     }
-    from.available -= 1;
+    bucket.available -= 1;
     return true;
 }
 
-/// The first \a holders daemons have an equal part each; the others pass the replica by.
-outcome runWithParts(const case_of_limit &play, int holders, double capacity)
+/// Gives an equal share of the limit to each of \a holders daemons; the others send nothing to the replica.
+outcome runWithEqualShares(const limit_case &limitCase, int holders, double capacity)
 {
     std::mt19937 random(5);
-    std::vector<bucket> buckets;
+    std::vector<token_bucket> buckets;
     for (int daemon = 0; daemon < holders; ++daemon) {
-        const auto told = instant(duration(1000000 + static_cast<std::int64_t>(random() % tellingTime.count())));
-        buckets.push_back({play.limit / holders, capacity, 0, told});
+        const auto startsAt = instant(duration(1000000 + static_cast<std::int64_t>(random() % maxReportDelay.count())));
+        buckets.push_back({limitCase.limit / holders, capacity, 0, startsAt});
     }
-    return run(play, [&](int daemon, instant now) {
-        // Spread over quiet and busy daemons alike.
-        const auto number = daemon * holders / play.daemons;
-        const bool isHolder = (number * play.daemons + holders - 1) / holders == daemon;
-        return isHolder && take(buckets[static_cast<std::size_t>(number)], now);
+    return run(limitCase, [&](int daemon, instant now) {
+        // Spread the holders evenly over busy and less busy daemons.
+        const auto number = daemon * holders / limitCase.daemons;
+        const bool isHolder = (number * limitCase.daemons + holders - 1) / holders == daemon;
+        return isHolder && consume(buckets[static_cast<std::size_t>(number)], now);
     });
 }
 
-outcome runWithPermits(const case_of_limit &play)
+outcome runWithPermits(const limit_case &limitCase)
 {
     permit_issuer issuer;
-    std::vector<permit_holder> wallets(static_cast<std::size_t>(play.daemons));
+    std::vector<permit_holder> permitHolders(static_cast<std::size_t>(limitCase.daemons));
     const replica_key replica{instance_id("i-1"), {}};
-    return run(play, [&](int daemon, instant now) {
-        auto &wallet = wallets[static_cast<std::size_t>(daemon)];
-        const bool isTaken = consumePermit(wallet, replica, now);
-        if (!isTaken) {
-            // The request goes elsewhere; the permit is for a later one.
-            if (const auto question = nextPermitRequest(wallet, replica, now)) {
-                const endpoint asker{"10.0.0.1", static_cast<std::uint16_t>(daemon)};
-                acceptResponse(wallet, issuePermits(issuer, *question, play.limit, asker, now), now);
+    return run(limitCase, [&](int daemon, instant now) {
+        auto &permitHolder = permitHolders[static_cast<std::size_t>(daemon)];
+        const bool hasPermit = consumePermit(permitHolder, replica, now);
+        if (!hasPermit) {
+            // This request goes to another replica; the permit serves a later one.
+            if (const auto permitRequest = nextPermitRequest(permitHolder, replica, now)) {
+                const endpoint requester{"10.0.0.1", static_cast<std::uint16_t>(daemon)};
+                acceptResponse(permitHolder, issuePermits(issuer, *permitRequest, limitCase.limit, requester, now), now);
             }
         }
-        return isTaken;
+        return hasPermit;
     });
 }
 
-void print(const case_of_limit &play, const std::string &way, const outcome &result)
+void print(const limit_case &limitCase, const std::string &method, const outcome &result)
 {
-    const auto allowed = std::floor(play.limit * windowSeconds * allowedFactor + allowedSlack);
-    const auto name = fmt::format("{}_daemons_limit_{}_{}", play.daemons, play.limit, way);
-    printFigure({name + "_used", result.used, "share", {}, {}});
-    printFigure({name + "_most", static_cast<double>(result.most), "requests", {}, allowed});
+    const auto allowed = std::floor(limitCase.limit * windowSeconds * allowedFactor + allowedSlack);
+    const auto name = fmt::format("{}_daemons_limit_{}_{}", limitCase.daemons, limitCase.limit, method);
+    printFigure({name + "_used", result.usedShare, "share", {}, {}});
+    printFigure({name + "_most", static_cast<double>(result.maxInWindow), "requests", {}, allowed});
 }
 
 } // namespace
@@ -154,12 +155,12 @@
 {
     for (const int daemons : {8, 79, 195, 350}) {
         for (const double limit : {1.2, 10.0, 100.0}) {
-            const case_of_limit play{daemons, limit};
+            const limit_case limitCase{daemons, limit};
             const auto holders = std::min(daemons, static_cast<int>(2 * limit + allowedSlack));
-            print(play, "equal_parts", runWithParts(play, daemons, 1));
-            print(play, "holders", runWithParts(play, holders, 1));
-            print(play, "one_daemon", runWithParts(play, 1, std::max(1.0, limit / 4)));
-            print(play, "permits", runWithPermits(play));
+            print(limitCase, "equal_parts", runWithEqualShares(limitCase, daemons, 1));
+            print(limitCase, "holders", runWithEqualShares(limitCase, holders, 1));
+            print(limitCase, "one_daemon", runWithEqualShares(limitCase, 1, std::max(1.0, limit / 4)));
+            print(limitCase, "permits", runWithPermits(limitCase));
         }
     }
     return 0;
--- a/Benchmarks/benchRelay.cpp
+++ b/Benchmarks/benchRelay.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-// What a stream costs one daemon: a real vetchpostd between a stand-in engine and callers, all separate processes. This program is the
-// callers: it opens many streams on few threads, and reads the daemon's processor time and memory from outside.
+// Measures what relaying a stream costs one daemon. A real vetchpostd runs between stand-in engines and clients, all as separate
+// processes. This program plays the clients: it opens many streams on one thread, and reads the daemon's processor time and memory from
+// /proc.
 #include "Benchmarks/figure.h"
 
 #include <Poco/Net/SocketAddress.h>
@@ -22,19 +23,19 @@
 
 using namespace vetchpost::bench;
 
-constexpr auto usage = R"(The callers of the relay benchmark.
+constexpr auto usage = R"(The clients of the relay benchmark.
 
 Usage:
   benchRelay [options] <address> <daemon-pid> <key>
 
 Options:
-  --streams N   Streams that are open at a time [default: 1100].
-  --seconds N   How long is measured [default: 10].
-  --tokens N    Tokens of one answer [default: 400].
-  --name NAME   What the figures' names end with [default: ].
+  --streams N   Number of concurrent streams [default: 1100].
+  --seconds N   Duration of the measurement [default: 10].
+  --tokens N    Tokens per answer [default: 400].
+  --name NAME   Suffix of the figures' names [default: ].
 )";
 
-/// The processor time that a process has used so far, in seconds.
+/// Returns the user and system processor time that a process has used, in seconds.
 double processorSecondsOf(long pid)
 {
     std::ifstream file(fmt::format("/proc/{}/stat", pid));
@@ -64,7 +65,7 @@
 {
     Poco::Net::StreamSocket socket;
     bool isOpen = true;
-    bool isWhole = false;
+    bool isComplete = false;
     std::string tail;
 };
 
@@ -81,7 +82,7 @@
                        body);
 }
 
-/// Reads whatever has come on every stream; the tokens seen.
+/// Reads the available data of every open stream, after waiting up to \a waitMilliseconds for some. Returns the number of tokens read.
 double readAll(std::vector<open_stream> &streams, int waitMilliseconds)
 {
     std::vector<pollfd> sockets;
@@ -108,7 +109,7 @@
         }
         stream.tail = (stream.tail + std::string(text)).substr(std::max<std::size_t>(64, stream.tail.size() + text.size()) - 64);
         if (stream.tail.find("[DONE]") != std::string::npos) {
-            stream.isWhole = true;
+            stream.isComplete = true;
             stream.isOpen = false;
         }
     }
@@ -135,9 +136,9 @@
         stream.socket.sendBytes(text.data(), static_cast<int>(text.size()));
         streams.push_back(std::move(stream));
     }
-    // All streams run before anything is measured.
-    const auto settled = std::chrono::steady_clock::now() + std::chrono::seconds(5);
-    while (std::chrono::steady_clock::now() < settled) {
+    // Let all streams start before the measurement begins.
+    const auto settleEnd = std::chrono::steady_clock::now() + std::chrono::seconds(5);
+    while (std::chrono::steady_clock::now() < settleEnd) {
         readAll(streams, 20);
     }
     const auto processorBefore = processorSecondsOf(pid);
--- a/Benchmarks/benchRequests.cpp
+++ b/Benchmarks/benchRequests.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The decisions on requests in virtual time, beside a naive gateway: any replica, first come first served, blind retries.
+// Compares the daemon's decisions on requests, in virtual time, with a naive gateway that picks a random replica, serves first come first
+// served and retries blindly.
 #include "Benchmarks/figure.h"
 #include "Benchmarks/requestModel.h"
 #include "Libraries/Base/digest.h"
@@ -18,11 +19,11 @@
 using namespace vetchpost;
 using namespace vetchpost::bench;
 
-model_options withLoad(double timesCapacity)
+model_options withLoad(double capacityFactor)
 {
     model_options options;
-    const auto rate = timesCapacity * capacityOf(options);
-    // The top priority is a tenth of the capacity, one organisation of the lowest floods.
+    const auto rate = capacityFactor * capacityOf(options);
+    // The highest priority gets at most a tenth of the capacity as load. One organisation of the lowest priority sends most of the rest.
     const auto top = std::min(0.1 * capacityOf(options), rate * 0.2);
     options.loads = {{5, 1, top}, {1, 4, (rate - top) * 0.25}, {1, 1, (rate - top) * 0.75}};
     return options;
@@ -45,14 +46,14 @@
     printFigure({name, ours.firstTokenP95(), "ms", naive.firstTokenP95(), {}});
 }
 
-void compareGoodput(double timesCapacity)
+void compareGoodput(double capacityFactor)
 {
-    const auto options = withLoad(timesCapacity);
-    const auto reachable = std::min(timesCapacity, 1.0) * capacityOf(options) * static_cast<double>(options.length.count()) / 1000;
+    const auto options = withLoad(capacityFactor);
+    const auto reachable = std::min(capacityFactor, 1.0) * capacityOf(options) * static_cast<double>(options.length.count()) / 1000;
     const auto ours = run(options, false);
     const auto naive = run(options, true);
-    printFigure({fmt::format("goodput_{:g}x", timesCapacity), ours.good() / reachable, "of_reachable", naive.good() / reachable, {}});
-    if (timesCapacity != 1.5) {
+    printFigure({fmt::format("goodput_{:g}x", capacityFactor), ours.good() / reachable, "of_reachable", naive.good() / reachable, {}});
+    if (capacityFactor != 1.5) {
         return;
     }
     const auto unloaded = run(withLoad(0.3), false).firstTokenP95(0);
@@ -62,15 +63,16 @@
                  "tries",
                  naive.dispatched / (naive.loads[0].offered + naive.loads[1].offered + naive.loads[2].offered),
                  {}});
-    // Jain's index over tokens by weight, of the two organisations of one priority, both always wanting more than they get.
-    auto even = options;
-    even.loads = {{1, 4, capacityOf(options)}, {1, 1, capacityOf(options)}};
-    const auto index = [](const model_result &result) {
+    // Jain's fairness index of the tokens per weight of two organisations of the same priority, whose demand always exceeds their
+    // share.
+    auto fairnessOptions = options;
+    fairnessOptions.loads = {{1, 4, capacityOf(options)}, {1, 1, capacityOf(options)}};
+    const auto jainIndex = [](const model_result &result) {
         const auto first = result.loads[0].tokens / 4;
         const auto second = result.loads[1].tokens / 1;
         return (first + second) * (first + second) / (2 * (first * first + second * second));
     };
-    printFigure({"fairness", index(run(even, false)), "jain", index(run(even, true)), {}});
+    printFigure({"fairness", jainIndex(run(fairnessOptions, false)), "jain", jainIndex(run(fairnessOptions, true)), {}});
 }
 
 void measureRouteChoice()
@@ -98,7 +100,7 @@
         sum += *chooseReplica(all, random(), {}, random);
     }
     const auto ours = std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - started).count() / choices;
-    // The naive way with the same knowledge: the least loaded of all.
+    // The naive method with the same information: a linear search for the least loaded replica.
     const auto naiveStarted = std::chrono::steady_clock::now();
     for (int i = 0; i < choices; ++i) {
         sum += static_cast<std::size_t>(
@@ -110,7 +112,8 @@
     printFigure({"route_choice_us", ours, "us", naive, {}});
 }
 
-/// An organisation's limit split between nine daemons whose demands differ and change: the share of the limit that is used.
+/// Splits an organisation's limit between nine daemons whose demands differ and change, by the demands of the previous round. Returns
+/// which share of the usable limit is used.
 double usedShare(limit_split rule)
 {
     constexpr std::size_t daemons = 9;
@@ -123,9 +126,9 @@
         std::vector<daemon_demand> demands;
         double total = 0;
         for (std::size_t i = 0; i < daemons; ++i) {
-            // The callers' balancer is uneven, and the unevenness moves.
-            const auto tilt = 1 + 4 * std::pow(std::sin(static_cast<double>(i) + round / 40.0), 2);
-            demands.push_back({tilt * (50 + static_cast<double>(random() % 50)), 1.0 + static_cast<double>(i % 3)});
+            // The clients' load balancer distributes unevenly, and the imbalance shifts over time.
+            const auto imbalance = 1 + 4 * std::pow(std::sin(static_cast<double>(i) + round / 40.0), 2);
+            demands.push_back({imbalance * (50 + static_cast<double>(random() % 50)), 1.0 + static_cast<double>(i % 3)});
             total += demands.back().tokensPerSecond;
         }
         const auto parts = splitLimit(limit, known, rule);
@@ -147,8 +150,8 @@
     auto slow = withLoad(0.6);
     slow.slowReplica = 3;
     compareFirstToken("first_token_p95_slow_replica", slow);
-    for (const auto times : {0.8, 1.5, 3.0}) {
-        compareGoodput(times);
+    for (const auto capacityFactor : {0.8, 1.5, 3.0}) {
+        compareGoodput(capacityFactor);
     }
     measureRouteChoice();
     const auto equal = usedShare(limit_split::equal);
--- a/Benchmarks/figure.h
+++ b/Benchmarks/figure.h
@@ -6,7 +6,7 @@
 
 namespace vetchpost::bench {
 
-/// One figure of a benchmark's last lines.
+/// One result of a benchmark, printed as a line at the end of its output.
 struct figure
 {
     std::string name;
@@ -16,11 +16,12 @@
     std::optional<double> bound;
 };
 
-/// Prints "figure=NAME value=V unit=U baseline=B ratio=R bound=X"; what is not known is left out.
+/// Prints "figure=NAME value=V unit=U baseline=B ratio=R bound=X"; ratio is value / baseline. Without a baseline, "baseline" and
+/// "ratio" are left out; without a bound, "bound" is.
 void printFigure(const figure &figure);
-/// Processor time of this process so far, in seconds.
+/// Returns the user and system processor time that this process has used, in seconds.
 double processorSeconds();
-/// Resident memory of this process now, in kilobytes.
+/// Returns the current resident memory of this process, in kilobytes of 1024 bytes.
 double residentKilobytes();
 
 } // namespace vetchpost::bench
--- a/Benchmarks/requestModel.cpp
+++ b/Benchmarks/requestModel.cpp
@@ -19,15 +19,15 @@
 
 namespace {
 
-constexpr int slowness = 5;
-constexpr int blindRetries = 3;
+constexpr int slowReplicaFactor = 5;
+constexpr int maxBlindRetries = 3;
 
 struct model_request
 {
     std::size_t load = 0;
     std::uint64_t prefix = 0;
     instant arrived;
-    int tries = 0;
+    int attempts = 0;
     bool isDone = false;
 };
 
@@ -37,7 +37,7 @@
     instant sent;
 };
 
-/// One replica: slots, a queue of its own in front of them, and a cache of prefixes.
+/// A replica with slots, its own queue in front of them, and a cache of prompt prefixes.
 struct model_replica
 {
     int running = 0;
@@ -100,12 +100,12 @@
         }
     };
 
-    void after(duration time, std::function<void()> run)
+    void schedule(duration time, std::function<void()> run)
     {
         m_events.push({m_now + time, ++m_order, std::move(run)});
     }
 
-    double any()
+    double randomFraction()
     {
         return std::uniform_real_distribution<double>(0, 1)(m_random);
     }
@@ -113,7 +113,7 @@
     void scheduleArrival(std::size_t load)
     {
         const auto gap = std::exponential_distribution<double>(m_options.loads[load].requestsPerSecond)(m_random);
-        after(duration(static_cast<std::int64_t>(gap * 1000)), [this, load] {
+        schedule(duration(static_cast<std::int64_t>(gap * 1000)), [this, load] {
             arrive(load);
             scheduleArrival(load);
         });
@@ -126,37 +126,37 @@
             replica.sentSince = 0;
             applyReport(replica.limit, {replica.running, static_cast<int>(replica.queue.size()), 1, replica.inFlight}, m_now);
         }
-        after(m_options.reportLag, [this] { report(); });
+        schedule(m_options.reportLag, [this] { report(); });
     }
 
     void arrive(std::size_t load)
     {
-        const auto place = std::lower_bound(m_prefixShares.begin(), m_prefixShares.end(), any() * m_prefixShares.back());
+        const auto rank = std::lower_bound(m_prefixShares.begin(), m_prefixShares.end(), randomFraction() * m_prefixShares.back());
         const auto id = m_requests.size();
-        m_requests.push_back({load, hashOf(std::to_string(place - m_prefixShares.begin())), m_now, 0, false});
+        m_requests.push_back({load, hashOf(std::to_string(rank - m_prefixShares.begin())), m_now, 0, false});
         m_result.loads[load].offered += 1;
         if (m_options.isNaive) {
-            sendBlindly(id);
+            sendToRandomReplica(id);
         } else {
             admit(id);
         }
     }
 
-    // The baseline.
+    // The baseline gateway.
 
-    void sendBlindly(std::uint64_t id)
+    void sendToRandomReplica(std::uint64_t id)
     {
         auto &request = m_requests[id];
-        ++request.tries;
-        send(id, static_cast<std::size_t>(any() * static_cast<double>(m_replicas.size())));
-        after(m_options.deadline, [this, id] {
-            if (!m_requests[id].isDone && m_requests[id].tries <= blindRetries) {
-                sendBlindly(id);
+        ++request.attempts;
+        send(id, static_cast<std::size_t>(randomFraction() * static_cast<double>(m_replicas.size())));
+        schedule(m_options.deadline, [this, id] {
+            if (!m_requests[id].isDone && m_requests[id].attempts <= maxBlindRetries) {
+                sendToRandomReplica(id);
             }
         });
     }
 
-    // The daemon's decisions.
+    // Admission, queueing and routing as the daemon does them.
 
     void admit(std::uint64_t id)
     {
@@ -183,21 +183,21 @@
     {
         removeExpired(m_queue, m_now);
         while (m_queue.length > 0) {
-            const auto probe = choose(0, *nextPriority(m_queue));
-            if (!probe) {
+            const auto anyReplica = choose(0, *nextPriority(m_queue));
+            if (!anyReplica) {
                 return;
             }
             const auto next = dequeue(m_queue, m_now);
             m_result.accepted += 1;
-            send(next->ticket, choose(m_requests[next->ticket].prefix, next->priority).value_or(*probe));
+            send(next->ticket, choose(m_requests[next->ticket].prefix, next->priority).value_or(*anyReplica));
         }
     }
 
     std::optional<std::size_t> choose(std::uint64_t prefix, int priority)
     {
         const auto reserved = reservedShare(m_queue, priority);
-        const auto loadAt = [&](std::size_t place) {
-            const auto &replica = m_replicas[place];
+        const auto loadAt = [&](std::size_t index) {
+            const auto &replica = m_replicas[index];
             replica_load load;
             load.reported = replica.reported;
             load.sentSince = replica.sentSince;
@@ -209,33 +209,33 @@
         return chooseReplica({m_places, loadAt}, prefix, {}, m_random);
     }
 
-    // The replicas.
+    // The model replicas.
 
-    void send(std::uint64_t id, std::size_t place)
+    void send(std::uint64_t id, std::size_t index)
     {
-        auto &replica = m_replicas[place];
+        auto &replica = m_replicas[index];
         m_result.dispatched += 1;
         ++replica.inFlight;
         ++replica.sentSince;
         replica.queue.push_back({id, m_now});
-        begin(place);
+        startQueued(index);
     }
 
-    void begin(std::size_t place)
+    void startQueued(std::size_t index)
     {
-        auto &replica = m_replicas[place];
+        auto &replica = m_replicas[index];
         while (replica.running < m_options.slots && !replica.queue.empty()) {
-            // The engines honour priorities: of those that queue there, the first of the highest priority goes first.
+            // Engines honour priorities: the oldest queued request of the highest priority starts first.
             const auto before
                 = [this](const waiting_request &left, const waiting_request &right) { return priorityOf(left) > priorityOf(right); };
             const auto first = std::min_element(replica.queue.begin(), replica.queue.end(), before);
             const auto waiting = *first;
             replica.queue.erase(first);
             ++replica.running;
-            const auto factor = static_cast<int>(place) == m_options.slowReplica ? slowness : 1;
-            const auto prefill = takePrefix(replica, m_requests[waiting.request].prefix) ? m_options.prefillHit : m_options.prefillMiss;
-            after(prefill * factor, [this, waiting, place] { firstToken(waiting, place); });
-            after((prefill + m_options.tokenGap * m_options.tokens) * factor, [this, place] { finish(place); });
+            const auto factor = static_cast<int>(index) == m_options.slowReplica ? slowReplicaFactor : 1;
+            const auto prefill = lookUpPrefix(replica, m_requests[waiting.request].prefix) ? m_options.prefillHit : m_options.prefillMiss;
+            schedule(prefill * factor, [this, waiting, index] { firstToken(waiting, index); });
+            schedule((prefill + m_options.tokenGap * m_options.tokens) * factor, [this, index] { finish(index); });
         }
     }
 
@@ -244,7 +244,7 @@
         return m_options.loads[m_requests[waiting.request].load].priority;
     }
 
-    bool takePrefix(model_replica &replica, std::uint64_t prefix)
+    bool lookUpPrefix(model_replica &replica, std::uint64_t prefix)
     {
         const auto found = std::find(replica.cache.begin(), replica.cache.end(), prefix);
         const bool isHit = found != replica.cache.end();
@@ -259,22 +259,22 @@
         return isHit;
     }
 
-    void firstToken(const waiting_request &waiting, std::size_t place)
+    void firstToken(const waiting_request &waiting, std::size_t index)
     {
-        auto &replica = m_replicas[place];
+        auto &replica = m_replicas[index];
         auto &request = m_requests[waiting.request];
-        const auto here = m_now - waiting.sent;
-        constexpr double newestShare = 0.2;
+        const auto timeAtReplica = m_now - waiting.sent;
+        constexpr double newestWeight = 0.2;
         replica.firstToken = replica.firstToken == 0
-            ? static_cast<double>(here.count())
-            : newestShare * static_cast<double>(here.count()) + (1 - newestShare) * replica.firstToken;
-        recordFirstToken(replica.limit, here, replica.inFlight, m_now);
+            ? static_cast<double>(timeAtReplica.count())
+            : newestWeight * static_cast<double>(timeAtReplica.count()) + (1 - newestWeight) * replica.firstToken;
+        recordFirstToken(replica.limit, timeAtReplica, replica.inFlight, m_now);
         if (request.isDone) {
             return;
         }
         const auto total = m_now - request.arrived;
         auto &load = m_result.loads[request.load];
-        request.isDone = total <= m_options.deadline * (m_options.isNaive ? request.tries : 1);
+        request.isDone = total <= m_options.deadline * (m_options.isNaive ? request.attempts : 1);
         if (request.isDone && total <= m_options.deadline) {
             load.good += 1;
             load.tokens += m_options.tokens;
@@ -284,12 +284,12 @@
         }
     }
 
-    void finish(std::size_t place)
+    void finish(std::size_t index)
     {
-        auto &replica = m_replicas[place];
+        auto &replica = m_replicas[index];
         --replica.running;
         --replica.inFlight;
-        begin(place);
+        startQueued(index);
         if (!m_options.isNaive) {
             serve();
         }
@@ -332,14 +332,14 @@
         return 0;
     }
     constexpr double percentile = 0.95;
-    const auto place = static_cast<std::ptrdiff_t>(percentile * static_cast<double>(times.size() - 1));
-    std::nth_element(times.begin(), times.begin() + place, times.end());
-    return times[static_cast<std::size_t>(place)];
+    const auto position = static_cast<std::ptrdiff_t>(percentile * static_cast<double>(times.size() - 1));
+    std::nth_element(times.begin(), times.begin() + position, times.end());
+    return times[static_cast<std::size_t>(position)];
 }
 
 double capacityOf(const model_options &options)
 {
-    // A request holds a slot from its prefill, here by half from the cache, to its last token.
+    // A request occupies a slot from its prefill to its last token. Half of the prefills are assumed to hit the prefix cache.
     const auto prefill = (options.prefillMiss + options.prefillHit) / 2;
     const auto seconds = static_cast<double>((prefill + options.tokenGap * options.tokens).count()) / 1000;
     return options.replicas * options.slots / seconds;
--- a/Benchmarks/requestModel.h
+++ b/Benchmarks/requestModel.h
@@ -8,7 +8,7 @@
 
 namespace vetchpost::bench {
 
-/// One organisation's load.
+/// The requests that one organisation sends.
 struct offered_load
 {
     int priority = 0;
@@ -19,23 +19,24 @@
 struct model_options
 {
     int replicas = 32;
-    /// Requests that one replica generates for at a time.
+    /// Requests that one replica processes concurrently.
     int slots = 16;
     duration tokenGap{50};
     int tokens = 60;
     duration prefillMiss{300};
     duration prefillHit{50};
-    /// Prompt prefixes that one replica keeps.
+    /// Capacity of one replica's prefix cache, in prompt prefixes.
     std::size_t cachedPrefixes = 40;
     int prefixes = 600;
     double prefixSkew = 1.0;
-    /// This replica takes five times as long; -1 for none.
+    /// Index of the replica that takes five times as long as the others; -1 for none.
     int slowReplica = -1;
     duration reportLag{1000};
     duration deadline{5000};
     duration length{60000};
     std::vector<offered_load> loads;
-    /// The baseline: any replica at once, no queue of its own, up to three blind retries.
+    /// Simulates the baseline gateway: each request goes at once to a random replica, without a queue in the gateway, and is sent again
+    /// up to three times when its deadline passes without a first token.
     bool isNaive = false;
     std::uint64_t seed = 1;
 };
@@ -56,13 +57,14 @@
     double hits = 0;
 
     double good() const;
-    /// The 95th percentile of the first-token times of those who got one in time.
+    /// Returns the 95th percentile of the first-token times in milliseconds, of the load with index \a load or of all loads if it is -1.
+    /// Only requests that got their first token in time count; returns 0 if there are none.
     double firstTokenP95(int load = -1) const;
 };
 
-/// Requests a second that the replicas can serve at the most.
+/// Returns the maximum throughput of all replicas together, in requests per second.
 double capacityOf(const model_options &options);
-/// Runs the daemon's decisions on requests against replicas in virtual time.
+/// Simulates the daemon's admission, queueing and routing decisions (or the baseline gateway) against model replicas in virtual time.
 model_result runRequests(const model_options &options);
 
 } // namespace vetchpost::bench
--- a/Meta/bench.sh
+++ b/Meta/bench.sh
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-# The parts of the benchmarks that need real processes. Sourced by Meta/vetchpost.sh, which sets: root, build.
+# The benchmarks that need real processes. Sourced by Meta/vetchpost.sh, which sets root and build.
 
 prepare_bench() {
     work=$(mktemp -d)
@@ -14,19 +14,20 @@
     wait_for 20 "daemon that accepts edits" vetchpost apply "$root/examples/configuration.yaml" --base 0 --edit-id bench --daemon "$(operators_of 1)"
 }
 
-# ticks PID: processor time of a process in clock ticks. resident PID: its memory in KB.
+# ticks PID: prints the processor time of a process in clock ticks. resident PID: prints its resident memory in KB.
+# metric DAEMON PREFIX: prints the sum of a daemon's metrics whose lines begin with PREFIX.
 ticks() { awk '{print $14 + $15}' "/proc/$1/stat"; }
 resident() { awk '/VmRSS/ {print $2}' "/proc/$1/status"; }
 metric() { curl -s "http://$(operators_of "$1")/metrics" | awk -v name="$2" 'index($0, name) == 1 {sum += $2} END {printf "%.0f", sum}'; }
 
-# One daemon between callers and two groups of four engines; STREAMS open streams, a token each 70 ms.
+# Measures one daemon that relays 300, 700 and 1100 concurrent streams from two groups of four engines, with a token every 70 ms.
 bench_relay() {
     prepare_bench
     local number
     for number in 1 2 3 4; do start_engine "$number" ikeja rack-a --token-gap-ms 70 --load-ms 100; done
     for number in 5 6 7 8; do start_engine "$number" ikeja rack-b --token-gap-ms 70 --load-ms 100; done
     local streams
-    # A fresh daemon for each size: memory that an earlier run left would be counted for the next.
+    # Start a new daemon for each number of streams: otherwise memory left by an earlier run would distort the next result.
     for streams in 300 700 1100; do
         start_daemon 1 ikeja
         [ $streams != 300 ] || apply_example
@@ -40,7 +41,7 @@
     done
 }
 
-# Nine idle daemons in three data centres with two groups: what control costs each, from outside.
+# Measures, from outside the processes, what the control plane costs each of nine idle daemons in three data centres with two groups.
 bench_control_processes() {
     prepare_bench
     local number data_centres=(ikeja lekki yaba)
@@ -80,7 +81,7 @@
         printf "figure=control_memory_mb_9_processes value=%.3g unit=MB bound=64\n", memory / 1024
         printf "figure=kv_calls_per_s_9_processes value=%.3g unit=calls/s\n", kv / s
     }'
-    # From acceptance to in force on all nine, ten times.
+    # Measure ten times how long an accepted edit takes until it is in force on all nine daemons.
     local edit started now worst=0 times=()
     for edit in 1 2 3 4 5 6 7 8 9 10; do
         sed "s/weight: 4/weight: $((4 + edit))/" "$root/examples/configuration.yaml" >"$work/edit.yaml"
--- a/Meta/bite.sh
+++ b/Meta/bite.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: Apache-2.0
-# Shows that the fuzzers and the fault soak bite: puts each defect of Meta/defects back into a scratch copy and reports at which step of a
-# fuzzer it is found; defects of the entry daemon (entry-) are for the soak, which is given seeds until it finds them.
+# Checks that the fuzzers and the fault soak detect known defects. Applies each patch of Meta/defects to a scratch copy and reports the step
+# at which a fuzzer finds the defect. Defects of the entry daemon (entry-*) run in the soak instead, with one seed after another until it
+# reports a broken promise.
 # Usage: Meta/bite.sh [PREFIX] [STEPS]
 set -euo pipefail
 root=$(cd "$(dirname "$0")/.." && pwd)
@@ -12,10 +13,11 @@
 git -C "$root" archive HEAD | tar -x -C "$scratch"
 cmake -S "$scratch" -B "$scratch/build" -G Ninja -DCMAKE_BUILD_TYPE=RelWithDebInfo >/dev/null
 
-# The seed of CI and the ones after it; what one of them finds first.
+# The seed that CI uses and the two after it.
 soak_seeds="4 5 6"
 soak_port=${SOAK_PORT:-31000}
 
+# find_by_soak: prints the first seed with which the soak fails, with the number of times that each promise was broken.
 find_by_soak() {
     cmake --build "$scratch/build" --target vetchpostd soak standInStore standInReplicas -- --quiet
     local seed found
--- a/Meta/cluster.sh
+++ b/Meta/cluster.sh
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
-# A small cluster of real processes on loopback, for the run command and for the tests with processes. Sourced, not run.
-# The caller sets: build (the build folder), work (a folder of its own for settings and logs).
+# Functions that run a small cluster of real processes on loopback, for the run command and the process tests. Sourced, not run.
+# The caller sets build (the build folder) and work (a separate folder for settings and logs).
 
 export VETCHPOST_OPERATOR_TOKEN=operators-example-token
 export VETCHPOST_PEER_TOKEN=peers-example-token
@@ -13,7 +13,7 @@
 weight_store=127.0.0.1:$((port_base + 2))
 declare -gA pids=()
 
-# start NAME PROGRAM ARGUMENTS...: runs a process with its log in the work folder, and remembers its id by the name.
+# start NAME PROGRAM ARGUMENTS...: starts a process in the background, logs to the work folder and stores its id in pids[NAME].
 start() {
     local name=$1
     shift
@@ -21,7 +21,7 @@
     pids[$name]=$!
 }
 
-# stop_all: ends every process that was started here, by its id.
+# stop_all: kills every process that start has started, by its id.
 stop_all() {
     local name
     for name in "${!pids[@]}"; do
@@ -37,7 +37,7 @@
     exit 1
 }
 
-# wait_for SECONDS WHAT COMMAND...: until the command succeeds.
+# wait_for SECONDS WHAT COMMAND...: repeats the command until it succeeds; fails with the text WHAT after the given time.
 wait_for() {
     local seconds=$1 what=$2
     shift 2
@@ -59,12 +59,12 @@
     wait_for 10 "platform" curl -sf "http://$instance_list/v1/instances?data_centre=ikeja"
 }
 
-# list_instance JSON: tells the instance list of an instance.
+# list_instance JSON: adds an instance to the instance list, or updates it.
 list_instance() {
     curl -sf -X POST -d "$1" "http://$instance_list/v1/instances" >/dev/null
 }
 
-# start_engine NUMBER DATA_CENTRE DOMAIN [OPTIONS...]
+# start_engine NUMBER DATA_CENTRE DOMAIN [OPTIONS...]: starts a stand-in engine and adds it to the instance list.
 start_engine() {
     local number=$1 data_centre=$2 domain=$3
     shift 3
@@ -72,13 +72,13 @@
     list_instance "{\"id\":\"engine-$number\",\"address\":\"$(engine_address "$number")\",\"data_centre\":\"$data_centre\",\"fabric_domain\":\"$domain\",\"accelerators\":8,\"state\":\"live\"}"
 }
 
-# start_service NUMBER DATA_CENTRE
+# start_service NUMBER DATA_CENTRE: starts a stand-in of the maintenance service and adds it to the instance list.
 start_service() {
     start "service-$1" "$build/Tests/StandIns/standInService" "service-$1" "$(service_address "$1")"
     list_instance "{\"id\":\"service-$1\",\"address\":\"$(service_address "$1")\",\"data_centre\":\"$2\",\"service\":\"maintenance\",\"state\":\"live\"}"
 }
 
-# start_daemon NUMBER DATA_CENTRE [FIRST_PEER_NUMBER]
+# start_daemon NUMBER DATA_CENTRE [FIRST_PEER_NUMBER]: starts a daemon and waits until it is healthy.
 start_daemon() {
     local number=$1 data_centre=$2 first=${3:-1}
     cat >"$work/daemon-$number.yaml" <<EOF
@@ -107,7 +107,7 @@
     "$build/Utilities/vetchpost/vetchpost" "$@"
 }
 
-# serving_groups DAEMON: how many groups this daemon sees serving.
+# serving_groups DAEMON: prints the number of groups that the daemon reports as serving.
 serving_groups() {
     vetchpost groups --daemon "$(operators_of "$1")" | grep -c ' serving ' || true
 }
@@ -115,7 +115,7 @@
 has_serving() { [ "$(serving_groups "$1")" = "$2" ]; }
 is_ready() { curl -sf "http://$(callers_of "$1")/readyz"; }
 
-# chat DAEMON TEXT [CURL OPTIONS...]: one request for the model, not streamed.
+# chat DAEMON TEXT [CURL OPTIONS...]: sends one chat request without streaming.
 chat() {
     local daemon=$1 text=$2
     shift 2
@@ -124,14 +124,14 @@
         "http://$(callers_of "$daemon")/v1/chat/completions"
 }
 
-# chat_stream DAEMON TEXT: the same as a stream of events.
+# chat_stream DAEMON TEXT: sends one chat request and prints the answer as a stream of events.
 chat_stream() {
     curl -sN -m 120 -H "Authorization: Bearer $okonjo_key" -H 'Content-Type: application/json' \
         -d "{\"model\":\"filing-assistant\",\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\"$2\"}],\"max_tokens\":${tokens:-24}}" \
         "http://$(callers_of "$1")/v1/chat/completions" || true
 }
 
-# work_order DAEMON ORDER [CURL OPTIONS...]: books one work order.
+# work_order DAEMON ORDER [CURL OPTIONS...]: sends one work order to the maintenance service.
 work_order() {
     local daemon=$1 order=$2
     shift 2
--- a/Meta/platform.sh
+++ b/Meta/platform.sh
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
-# The stand-in of the users' platform with entry daemons on loopback, for "run --platform" and the process tests. Sourced after
-# Meta/cluster.sh, not run.
+# Functions that run a stand-in of the users' platform with entry daemons on loopback, for "run --platform" and the process tests.
+# Sourced after Meta/cluster.sh, not run.
 
 store=127.0.0.1:$((port_base))
 store_control=127.0.0.1:$((port_base + 1))
@@ -13,16 +13,18 @@
 entry_readiness() { echo "127.0.0.1:$((port_base + 101 + $1 * 10))"; }
 entry_peers() { echo "127.0.0.1:$((port_base + 102 + $1 * 10))"; }
 
-# fault ADDRESS JSON: sets a stand-in's faults.
+# fault ADDRESS JSON: sets the faults that a stand-in injects. facts ADDRESS: prints the state of a stand-in.
+# events ADDRESS [AFTER]: prints the events of a stand-in after the given one.
 fault() { curl -sf -m 20 -X POST -d "$2" "http://$1/faults" >/dev/null; }
 facts() { curl -sf -m 10 "http://$1/facts"; }
 events() { curl -sf -m 10 "http://$1/events?after=${2:-0}"; }
 
-# start_stand_ins [OPTIONS OF THE REPLICAS...]: the store, 16 replicas with engines in two fabric domains and three of a plain service.
+# start_stand_ins [OPTIONS OF THE REPLICAS...]: starts the store, 16 replicas with engines in two fabric domains and three
+# replicas of a plain service. Fails if an address is in use.
 start_stand_ins() {
-    local place
-    for place in "$store" "$store_control" "$replica_control" "$(entry_callers 1)" "$(entry_callers 2)" "$(entry_callers 3)"; do
-        ! (exec 3<>"/dev/tcp/${place/:/\/}") 2>/dev/null || fail "another process listens at $place"
+    local address
+    for address in "$store" "$store_control" "$replica_control" "$(entry_callers 1)" "$(entry_callers 2)" "$(entry_callers 3)"; do
+        ! (exec 3<>"/dev/tcp/${address/:/\/}") 2>/dev/null || fail "another process listens at $address"
     done
     start store "$build/Tests/StandIns/standInStore" --listen="$store" --control="$store_control"
     wait_for 10 "store" facts "$store_control"
@@ -31,7 +33,7 @@
     wait_for 10 "replicas" facts "$replica_control"
 }
 
-# put_configuration VERSION [KEY]: the operator writes the configuration, with one key of the tenant.
+# put_configuration VERSION [KEY]: writes the configuration to the store as the operator does, with one API key of the tenant.
 put_configuration() {
     local version=$1 key=${2:-$tenant_key} value
     value=$(base64 -w0 <<JSON
@@ -50,7 +52,7 @@
     curl -sf -m 5 -H 'X-Stand-In: yes' -d "{\"ExpectedRev\":[],\"SetKeys\":[{\"Key\":\"op/config\",\"Value\":\"$value\",\"Lease\":0}],\"Delete\":[]}" "http://$store/kv-txn" >/dev/null
 }
 
-# start_entry NUMBER: an entry daemon; its decisions are in entry-NUMBER.log.
+# start_entry NUMBER: starts an entry daemon, which logs its decisions to entry-NUMBER.log.
 start_entry() {
     cat >"$work/entry-$1.yaml" <<YAML
 daemon: entry-$1
@@ -71,7 +73,7 @@
 
 is_entry_ready() { curl -sf -m 2 "http://$(entry_readiness "$1")/readyz"; }
 
-# ask ADDRESS PATH ATTEMPT [CURL OPTIONS...]: one request of a client. Streams go on for TOKENS tokens.
+# ask ADDRESS PATH ATTEMPT [CURL OPTIONS...]: sends one client request. The variables model and tokens set a stream's model and length.
 ask() {
     local address=$1 path=$2 attempt=$3
     shift 3
@@ -79,17 +81,17 @@
         -H "Model: ${model:-m0}" -H "Token-Counts: 40,${tokens:-30}" -d 'the prompt' "$@" "http://$address$path"
 }
 
-# serving_places: how many groups' heads serve, by the replicas' own word.
+# serving_places: prints the number of groups whose head serves, as the replicas report it.
 serving_places() { facts "$replica_control" | grep -o '"State":"open"' | wc -l; }
 has_places() { [ "$(serving_places)" -ge "$1" ]; }
 
-# is_whole_stream FILE ATTEMPT EVENTS: whether the file holds each event of the attempt's stream once and in order.
+# is_whole_stream FILE ATTEMPT EVENTS: checks that the file holds each event of the attempt's stream exactly once and in order.
 is_whole_stream() {
     local number
     for number in $(seq 1 "$3"); do printf 'id: %s\ndata: {"attempt":"%s","event":%s,"of":%s}\n\n' "$number" "$2" "$number" "$3"; done | cmp -s - "$1"
 }
 
-# start_three_entries: the stand-ins and three entry daemons, ready, with groups of both models.
+# start_three_entries: starts the stand-ins and three entry daemons, and waits until they are ready and groups of both models serve.
 start_three_entries() {
     local number
     start_stand_ins "$@"
@@ -98,15 +100,15 @@
     for number in 1 2 3; do wait_for 20 "ready entry daemon $number" is_entry_ready "$number"; done
     wait_for 30 "serving groups" has_places 4
     for number in 1 2 3; do
-        wait_for 20 "place for m0 at daemon $number" serves "$number" m0
-        wait_for 20 "place for m1 at daemon $number" serves "$number" m1
+        wait_for 20 "backend for m0 at daemon $number" serves "$number" m0
+        wait_for 20 "backend for m1 at daemon $number" serves "$number" m1
     done
 }
 
-# serves NUMBER MODEL: whether the daemon answers a stream of that model.
+# serves NUMBER MODEL: checks that the daemon answers a streamed request for the model.
 serves() { model=$2 tokens=5 ask "$(entry_callers "$1")" /stream/serves "serves-$RANDOM" -f; }
 
-# start_balancer NUMBER...: the balancer before these entry daemons.
+# start_balancer NUMBER...: starts a load balancer in front of these entry daemons. is_in and is_out check whether it sends to a daemon.
 start_balancer() {
     local number list=
     for number in "$@"; do list+=${list:+,}$(entry_callers "$number")=$(entry_readiness "$number"); done
--- a/Meta/vetchpost.sh
+++ b/Meta/vetchpost.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: Apache-2.0
-# The developers' and first-time users' command: run, test, lint, bench, sanitize, fuzz, soak.
+# The command for developers and first-time users: run, test, lint, bench, sanitize, fuzz, soak.
 set -euo pipefail
 root=$(cd "$(dirname "$0")/.." && pwd)
 build=${VETCHPOST_BUILD:-$root/build}
@@ -10,17 +10,17 @@
     cat <<'EOF'
 Usage: Meta/vetchpost.sh VERB
 
-  run [--stay]     Install what is missing, build, start a small cluster on loopback, send it a request and a work order.
-                   With --stay it is kept up until Ctrl-C.
+  run [--stay]     Install missing packages, build, start a small cluster on loopback, send it a request and a work order.
+                   With --stay the cluster runs until Ctrl-C.
   run --platform [--stay]
-                   The same for entry daemons on a stand-in of the users' platform, with one of them stopped in mid-stream.
-  test             Install what is missing, build, run all tests, with the processes' ones.
+                   The same for entry daemons on a stand-in of the users' platform; one daemon is stopped during a stream.
+  test             Install missing packages, build, run all tests, including the process tests.
   lint             Check the formatting and run the linter.
-  bench NAME       Run a benchmark: groups, requests, control, relay, assembly, repair, crashes, limits. The last lines are figures.
+  bench NAME       Run a benchmark: groups, requests, control, relay, assembly, repair, crashes, limits. The last lines are the results.
   fuzz [--seed N] [--steps N]
-                   Run the fuzzers for longer.
+                   Run the fuzzers for longer, by default for 100000 steps.
   soak [--seed N] [--seconds S] [--daemons N] [--replicas N] [--clients N] [--deadly N] [--notices N] [--base-port N] [--keep DIR]
-                   Run entry daemons among faults that the seed gives and check the promises; logs stay in DIR.
+                   Run entry daemons under faults generated from the seed and check the promises; logs are kept in DIR.
   sanitize         Build and run the unit tests with the address, undefined-behaviour and thread sanitizers.
 EOF
 }
@@ -70,15 +70,15 @@
     vetchpost groups --daemon "$(operators_of 2)"
     echo "== A streamed request through daemon 1"
     VETCHPOST_KEY=$okonjo_key vetchpost ask filing-assistant "Explain the assessment notice." --stream --callers "$(callers_of 1)"
-    echo "== A work order through daemon 3, and the same key once more through daemon 2"
+    echo "== A work order through daemon 3, and a repeat with the same idempotency key through daemon 2"
     work_order 3 lining-4711 -i -H 'Idempotency-Key: order-4711' | grep -Ei '^(HTTP|X-Request-Id|\{)'
     work_order 2 lining-4711 -i -H 'Idempotency-Key: order-4711' | grep -Ei '^(HTTP|Idempotent|\{)'
     echo "booked: $(curl -s "http://$(service_address 1)/booked")"
-    echo "== Metrics that moved"
+    echo "== Metrics that are not zero"
     curl -s "http://$(operators_of 1)/metrics" | grep -E '^vetchpost_(requests|tokens|claims|orders|takeovers|key_value_calls)[a-z_]*(\{[^}]*\})? [1-9]' || true
     if [ "${1:-}" = --stay ]; then
         cat <<EOF
-== It stays up; Ctrl-C ends it. Logs: $work
+== Running until Ctrl-C. Logs: $work
   curl -H 'Authorization: Bearer $okonjo_key' http://$(callers_of 1)/v1/models
   curl -N -H 'Authorization: Bearer $okonjo_key' -d '{"model":"filing-assistant","stream":true,"messages":[{"role":"user","content":"Hello"}]}' http://$(callers_of 2)/v1/chat/completions
   VETCHPOST_OPERATOR_TOKEN=$VETCHPOST_OPERATOR_TOKEN $build/Utilities/vetchpost/vetchpost groups --daemon $(operators_of 1)
@@ -110,25 +110,25 @@
     echo "== A work order"
     ask "$balancer" /book/order 4711
     echo
-    echo "== A stream of 40 events through daemon 2, which is stopped in mid-stream"
+    echo "== A stream of 40 events through daemon 2, which is stopped during the stream"
     tokens=200 ask "$(entry_callers 2)" /stream/report 6bd2c1 >"$work/stream" &
     local client=$!
     sleep 0.7
     kill -TERM "${pids[entry-2]}"
-    echo "when it was told to stop: $(grep -c '^id: ' "$work/stream") events"
+    echo "when the daemon was signalled to stop: $(grep -c '^id: ' "$work/stream") events"
     wait "$client" || true
-    is_whole_stream "$work/stream" 6bd2c1 40 || fail "the stream did not end whole"
-    echo "at its end: 40 events, each once and in order"
-    wait "${pids[entry-2]}" && echo "daemon 2 ended as planned"
+    is_whole_stream "$work/stream" 6bd2c1 40 || fail "the stream is incomplete or out of order"
+    echo "at the end: 40 events, each once and in order"
+    wait "${pids[entry-2]}" && echo "daemon 2 has exited cleanly"
     unset 'pids[entry-2]'
-    echo "== The story of that request"
+    echo "== The timeline of that request"
     vetchpost explain 6bd2c1 "$work"/entry-*.log
     echo "== New connections go to the other daemons"
     ask "$balancer" /fetch/record 6bd2c2
     echo
     if [ "${1:-}" = --stay ]; then
         cat <<EOF
-== It stays up; Ctrl-C ends it. Decisions: $work/entry-*.log
+== Running until Ctrl-C. Decisions: $work/entry-*.log
   curl -N -H 'Host: desk.example' -H 'Authorization: Bearer $tenant_key' -H 'Attempt-Id: mine' -H 'Model: m0' -d prompt http://$balancer/stream/hello
   $build/Utilities/vetchpost/vetchpost explain mine $work/entry-*.log
   curl http://$replica_control/facts
