--- a/Libraries/Assembly/assembly_state.h
+++ b/Libraries/Assembly/assembly_state.h
@@ -133,6 +133,7 @@
     bool hasLeft = false;
     /// When the head was first found to be gone.
     std::optional<instant> headLostSince;
+    /// Why the group cannot be formed; empty if no join of a member has failed.
     std::string why;
     /// Whether the group is closed to make room for a group of a larger model.
     bool isPreempted = false;
@@ -200,6 +201,7 @@
     assembly_policy policy;
     /// Number of the coordinator's term, set at takeover; each term has a higher number than the one before.
     std::uint64_t term = 0;
+    /// Number of formations that this term has begun.
     std::uint64_t lastNumber = 0;
     bool hasAdopted = false;
     /// When this term's first round was planned.
@@ -211,6 +213,8 @@
     std::map<group_id, planned_group> groups;
     /// Formations of earlier terms that this term has found: each is adopted once.
     std::set<std::pair<group_id, formation>> knownFormations;
+    /// Until when each replica is in backoff: it did not accept an order to join or to stage, or was just ordered to close as an unplanned
+    /// head.
     std::map<instance_id, instant> avoidedUntil;
     /// Since when each leaving replica is known to be leaving.
     std::map<instance_id, instant> drainingSince;
@@ -232,6 +236,7 @@
         model_id model;
         instant since;
     };
+    /// The background load that each replica was ordered to begin and that is not over yet.
     std::map<instance_id, staging> stagings;
     smoothed_demand demand;
     /// The number of usable replicas.
@@ -268,7 +273,7 @@
 /// Updates the state with the result of an order. Results for earlier incarnations of a replica are ignored.
 void recordOrderResult(assembly_state &state, const replica_order &order, const order_answer &answer, instant now);
 
-/// The wanted and present groups of one model, for the log.
+/// The numbers of one model's groups, wanted and by what they do, for the log and for metrics.
 struct model_group_counts
 {
     model_id model;
--- a/Libraries/Assembly/demand_shares.cpp
+++ b/Libraries/Assembly/demand_shares.cpp
@@ -46,8 +46,8 @@
     double sum = 0;
     for (const auto &model : engine.models) {
         const bool isMeasured = requests >= minRequests && measured > 0;
-        // A model that is short holds more requests than its work accounts for, so the result is the geometric mean of the configured and
-        // the measured share.
+        // A model that is short holds more requests than its work accounts for, so the measured share is followed only half the way: the
+        // result is the geometric mean of the configured and the measured share.
         const auto share = isMeasured ? std::sqrt(model.share * configured * needed.at(model.id) / measured) : model.share;
         shares[model.id] = std::clamp(share, minOfConfigured * model.share, maxOfConfigured * model.share);
         sum += shares[model.id];
--- a/Libraries/Assembly/loss_timer.h
+++ b/Libraries/Assembly/loss_timer.h
@@ -23,7 +23,8 @@
 /// Records that a member of the group of \a head does not answer. Returns the time since the group was first reported to be stalled, or
 /// nothing if there was no such report.
 std::optional<duration> recordDetection(loss_timer &timer, const instance_id &head, instant now);
-/// Records the present groups of all models. Returns, for each model that has all wanted groups again, the time for which it lacked some.
+/// Records how many of the wanted groups of each model serve. Returns, for each model whose wanted groups all serve again, the time for
+/// which some did not.
 std::vector<duration> recordGroupCounts(loss_timer &timer, const std::vector<model_group_counts> &models, instant now);
 
 } // namespace vetchpost
--- a/Libraries/Engines/engine_messages.h
+++ b/Libraries/Engines/engine_messages.h
@@ -22,7 +22,7 @@
 };
 
 /// An order to one instance to become a rank of a group. An order with an empty group releases the instance.
-/// The generation is the fencing token: it increases with every change in the data centre.
+/// The generation is the fencing number: it increases with every change in the data centre.
 struct engine_order
 {
     instance_id instance;
@@ -37,7 +37,7 @@
 /// Result of sending an order.
 enum class order_outcome {
     accepted,
-    /// The engine has seen a higher fencing token.
+    /// The engine has seen a higher fencing number.
     stale,
     /// The order did not reach the engine.
     not_sent,
--- a/Libraries/Entry/assembly_metrics.cpp
+++ b/Libraries/Entry/assembly_metrics.cpp
@@ -14,9 +14,9 @@
 constexpr auto strandedName = "vetchpost_replicas_stranded";
 constexpr auto strandedHelp = "Usable replicas in no group while a model has fewer groups than wanted.";
 
-bool lacksGroups(const model_group_counts &standing)
+bool lacksGroups(const model_group_counts &model)
 {
-    return standing.serving < standing.wanted;
+    return model.serving < model.wanted;
 }
 
 } // namespace
@@ -30,25 +30,22 @@
 {
 }
 
-void assembly_metrics::recordModels(const service_id &service,
-                                    const std::vector<model_group_counts> &standings,
-                                    std::size_t free,
-                                    instant now)
+void assembly_metrics::recordModels(const service_id &service, const std::vector<model_group_counts> &models, std::size_t free, instant now)
 {
     const std::lock_guard lock(m_mutex);
-    for (const auto &standing : standings) {
+    for (const auto &model : models) {
         const std::vector<std::pair<std::string, int>> counts
-            = {{"wanted", standing.wanted}, {"serving", standing.serving}, {"forming", standing.forming}, {"ending", standing.ending}};
+            = {{"wanted", model.wanted}, {"serving", model.serving}, {"forming", model.forming}, {"ending", model.ending}};
         for (const auto &[state, count] : counts) {
-            findOrAddGauge(groupsName, groupsHelp, {{"service", service.value()}, {"model", standing.model.value()}, {"state", state}})
+            findOrAddGauge(groupsName, groupsHelp, {{"service", service.value()}, {"model", model.model.value()}, {"state", state}})
                 .set(count);
         }
     }
-    const bool doesAnyLackGroups = std::any_of(standings.begin(), standings.end(), lacksGroups);
+    const bool doesAnyLackGroups = std::any_of(models.begin(), models.end(), lacksGroups);
     const auto count = static_cast<double>(free);
     findOrAddGauge(freeName, freeHelp, {{"service", service.value()}}).set(count);
     findOrAddGauge(strandedName, strandedHelp, {{"service", service.value()}}).set(doesAnyLackGroups ? count : 0);
-    for (const auto time : vetchpost::recordGroupCounts(m_repairWatches[service], standings, now)) {
+    for (const auto time : vetchpost::recordGroupCounts(m_repairWatches[service], models, now)) {
         m_repairTime.observe(secondsOf(time));
     }
 }
--- a/Libraries/Entry/assembly_metrics.h
+++ b/Libraries/Entry/assembly_metrics.h
@@ -19,7 +19,7 @@
 
     /// Updates the gauges of a service's groups and of its \a free replicas (usable, in no group), and records the repair time of each
     /// model that has all wanted groups again.
-    void recordModels(const service_id &service, const std::vector<model_group_counts> &standings, std::size_t free, instant now);
+    void recordModels(const service_id &service, const std::vector<model_group_counts> &models, std::size_t free, instant now);
     /// Records that a daemon reported the group of \a head as stalled.
     void recordStallReport(const instance_id &head, instant now);
     /// Records that a member of the group of \a head did not answer a probe, and with it the detection time of a reported stall.
--- a/Libraries/Entry/peer_feed.cpp
+++ b/Libraries/Entry/peer_feed.cpp
@@ -110,35 +110,35 @@
     }
 
     /// Accepts batches of any daemon: one that has just changed its source may still have entries that this one lacks.
-    void handle(const suspect_batch &list, const endpoint &from)
+    void handle(const suspect_batch &batch, const endpoint &from)
     {
-        socket.send(suspects.receiveBatch(list, from));
+        socket.send(suspects.receiveBatch(batch, from));
         syncTables();
     }
 
-    void handle(const constraint_batch &list, const endpoint &from)
+    void handle(const constraint_batch &batch, const endpoint &from)
     {
-        socket.send(constraints.receiveBatch(list, from));
+        socket.send(constraints.receiveBatch(batch, from));
         syncTables();
     }
 
-    void handle(const constraint_ack &receipt, const endpoint &from)
+    void handle(const constraint_ack &ack, const endpoint &from)
     {
-        constraints.receiveAck(receipt, from);
+        constraints.receiveAck(ack, from);
     }
 
     /// Only the source issues permits: two daemons that issued them for one replica would exceed its limit.
-    void handle(const permit_request &question, const endpoint &from)
+    void handle(const permit_request &request, const endpoint &from)
     {
         if (isSource()) {
-            socket.send({{from}, constraints.issue(question, from)});
+            socket.send({{from}, constraints.issue(request, from)});
         }
     }
 
-    void handle(const permit_response &answer, const endpoint &from)
+    void handle(const permit_response &response, const endpoint &from)
     {
         if (from == knownOrigin()) {
-            constraints.addPermits(answer);
+            constraints.addPermits(response);
         }
     }
 
@@ -148,22 +148,22 @@
         return origin;
     }
 
-    bool requestPermit(const permit_request &question)
+    bool requestPermit(const permit_request &request)
     {
         if (isSource()) {
-            constraints.addPermits(constraints.issue(question, settings.peers));
+            constraints.addPermits(constraints.issue(request, settings.peers));
             return true;
         }
         const auto to = knownOrigin();
         if (to) {
-            socket.send({{*to}, question});
+            socket.send({{*to}, request});
         }
         return to.has_value();
     }
 
-    void handle(const suspect_ack &receipt, const endpoint &from)
+    void handle(const suspect_ack &ack, const endpoint &from)
     {
-        suspects.receiveAck(receipt, from);
+        suspects.receiveAck(ack, from);
     }
 
     duration untilSubscription() const
@@ -451,9 +451,9 @@
     d->syncTables();
 }
 
-bool peer_feed::requestPermit(const permit_request &question)
+bool peer_feed::requestPermit(const permit_request &request)
 {
-    return d->requestPermit(question);
+    return d->requestPermit(request);
 }
 
 bool peer_feed::sendStallReport(const stall_report &report)
--- a/Libraries/Entry/peer_feed.h
+++ b/Libraries/Entry/peer_feed.h
@@ -39,7 +39,7 @@
     /// Stops the feed's thread.
     void stop();
 
-    /// Makes this daemon the source, or a follower again, whose own followers are told that it is no source any more.
+    /// Makes this daemon the source, or a follower again. In the latter case its own followers are told that it is no longer their source.
     void setSource(bool isSource);
     bool isSource() const;
     /// Follows the coordinator at the address \a source, or the relay that it refers to.
@@ -54,7 +54,7 @@
     void syncTables();
     /// Requests a permit from the source; the answer arrives on the feed's thread, or at once if this daemon is the source. Returns false
     /// if no source is known.
-    bool requestPermit(const permit_request &question);
+    bool requestPermit(const permit_request &request);
     /// As the source: warns all followers, and this daemon, that the group of \a head is likely to be stalled.
     void sendStallWarning(const instance_id &head);
 
--- a/Libraries/Entry/relay_context.h
+++ b/Libraries/Entry/relay_context.h
@@ -47,7 +47,7 @@
     /// Whether the API keys of the configuration are recent enough to be trusted.
     bool areKeysCurrent(instant now) const;
 
-    /// Whether connections should be closed after the current answer, so that clients scope another daemon.
+    /// Whether connections should be closed after the current answer, so that clients reach another daemon.
     bool shouldCloseConnections(instant now) const;
     /// Applies the limits that a replica's answer announces, and sends them to other daemons where these need them.
     void applyNotice(const backend &target, const replica_notice &notice, const request_id &request);
@@ -67,7 +67,7 @@
     /// that wait there may be retried elsewhere.
     void applyStallWarning(const instance_id &head) const;
 
-    /// The sequence number of the next choice among replicas.
+    /// The sequence number of the next choice among replicas, which chooseBackend() takes as its turn.
     std::uint64_t nextSequenceNumber()
     {
         return ++m_sequenceNumber;
--- a/Libraries/Entry/replica_prober.cpp
+++ b/Libraries/Entry/replica_prober.cpp
@@ -101,8 +101,8 @@
         return probe_result::answers;
     }
 
-    /// Whether replicas elsewhere answered this daemon after \a began, when the probe of a silent one started. Probes them if this is
-    /// unknown.
+    /// Whether the self-check of this daemon passes: enough reference replicas answer it. A check that has passed after \a began, when the
+    /// probe of the silent replica started, is not repeated.
     bool isSoundSince(instant began, const served_replica &silentReplica)
     {
         const std::lock_guard check(checkMutex);
@@ -130,7 +130,7 @@
         return answered >= needed;
     }
 
-    /// Records the result of a self-check, and logs when trouble begins or is over.
+    /// Records the result of a self-check, and logs when the checks begin to fail and when they pass again.
     void finishSelfCheck(instant began, std::size_t answered, std::size_t needed)
     {
         const std::lock_guard lock(mutex);
--- a/Libraries/Entry/replica_prober.h
+++ b/Libraries/Entry/replica_prober.h
@@ -12,7 +12,7 @@
 
 namespace vetchpost {
 
-/// Probes replicas for the coordinator, on its own threads, and keeps which of them are silent.
+/// Probes replicas for the coordinator, on its own threads, and records which of them are silent.
 class replica_prober
 {
 public:
@@ -36,8 +36,8 @@
     suspicion_report report(const replica_directory &directory, instant now);
     /// Starts probes of all members of the group of \a head.
     void probeGroup(const instance_id &head);
-    /// Whether this daemon itself has been in trouble for so long (too few reference replicas answer it) that another one should become the
-    /// coordinator.
+    /// Whether too few reference replicas have answered this daemon for so long that another one should become the coordinator, since the
+    /// fault is likely its own.
     bool mustHandOver(instant now) const;
 
 private:
--- a/Libraries/Entry/shared_constraints.cpp
+++ b/Libraries/Entry/shared_constraints.cpp
@@ -215,14 +215,14 @@
     for (const auto &target : candidates) {
         replica.replica = target.replica;
         replica.incarnation = target.incarnation;
-        const auto closure = wasTried(tried, target) ? replica_block() : blockOf(d->table, d->wallet, replica, now);
-        if (closure.cause == block_cause::none) {
+        const auto block = wasTried(tried, target) ? replica_block() : blockOf(d->table, d->wallet, replica, now);
+        if (block.cause == block_cause::none) {
             continue;
         }
         blocked.replicas.push_back(target.replica);
-        count(blocked, closure.cause);
-        if (closure.until) {
-            blocked.unblockedAt = std::min(blocked.unblockedAt.value_or(*closure.until), *closure.until);
+        count(blocked, block.cause);
+        if (block.until) {
+            blocked.unblockedAt = std::min(blocked.unblockedAt.value_or(*block.until), *block.until);
         }
     }
     return blocked;
@@ -242,9 +242,9 @@
         if (wasTried(tried, target) || blockOf(d->table, d->wallet, replica, now).cause != block_cause::limit) {
             continue;
         }
-        if (auto question = vetchpost::nextPermitRequest(d->wallet, replica, now)) {
-            question->report = makeReport(replica, *findConstraint(d->table, replica), now);
-            return question;
+        if (auto request = vetchpost::nextPermitRequest(d->wallet, replica, now)) {
+            request->report = makeReport(replica, *findConstraint(d->table, replica), now);
+            return request;
         }
     }
     return std::nullopt;
@@ -283,12 +283,12 @@
     return collectDueBatches(d->spread, d->table, source, followers, now);
 }
 
-feed_datagram shared_constraints::receiveBatch(const constraint_batch &list, const endpoint &from)
+feed_datagram shared_constraints::receiveBatch(const constraint_batch &batch, const endpoint &from)
 {
     const std::lock_guard lock(d->mutex);
     const auto before = d->table.changes;
-    auto receipt = applyBatch(d->spread, d->table, list, from, monotonicNow());
-    for (const auto &report : list.reports) {
+    auto ack = applyBatch(d->spread, d->table, batch, from, monotonicNow());
+    for (const auto &report : batch.reports) {
         const auto *known = findConstraint(d->table, report.replica);
         if (known != nullptr && known->changed > before) {
             d->logReport(report);
@@ -296,7 +296,7 @@
         }
     }
     d->hasAny = !d->table.entries.empty();
-    return receipt;
+    return ack;
 }
 
 void shared_constraints::notifyDepartures()
@@ -306,26 +306,26 @@
     }
 }
 
-void shared_constraints::receiveAck(const constraint_ack &receipt, const endpoint &from)
+void shared_constraints::receiveAck(const constraint_ack &ack, const endpoint &from)
 {
     const std::lock_guard lock(d->mutex);
-    applyAck(d->spread, receipt, from);
+    applyAck(d->spread, ack, from);
 }
 
-permit_response shared_constraints::issue(const permit_request &question, const endpoint &asker)
+permit_response shared_constraints::issue(const permit_request &request, const endpoint &asker)
 {
     const std::lock_guard lock(d->mutex);
-    auto answer = answerPermitRequest(d->issuer, d->table, question, asker, monotonicNow());
+    auto response = answerPermitRequest(d->issuer, d->table, request, asker, monotonicNow());
     d->hasAny = !d->table.entries.empty();
-    d->issued.increment(answer.granted);
-    return answer;
+    d->issued.increment(response.granted);
+    return response;
 }
 
-void shared_constraints::addPermits(const permit_response &answer)
+void shared_constraints::addPermits(const permit_response &response)
 {
     {
         const std::lock_guard lock(d->mutex);
-        if (acceptResponse(d->wallet, answer, monotonicNow()) && answer.granted == 0) {
+        if (acceptResponse(d->wallet, response, monotonicNow()) && response.granted == 0) {
             d->denied.increment();
         }
     }
--- a/Libraries/Entry/shared_constraints.h
+++ b/Libraries/Entry/shared_constraints.h
@@ -14,17 +14,17 @@
 
 namespace vetchpost {
 
-/// The candidates for a request that must not be sent it now.
+/// The candidate replicas that must not be sent a request now.
 struct blocked_backends
 {
     std::vector<instance_id> replicas;
-    /// The earliest time at which one of them may be sent a request again; nothing if there is none.
+    /// The earliest time at which one of them may be sent a request again; nothing if no such time is known.
     std::optional<instant> unblockedAt;
     /// Number of them in a backoff.
     int inBackoff = 0;
     /// Number of them with a rate limit for which this daemon holds no permit.
     int limited = 0;
-    /// Number of them that leave.
+    /// Number of them that are leaving.
     int leaving = 0;
 
     /// Returns the numbers for the log; empty if all are zero.
@@ -67,15 +67,15 @@
     /// Returns the batches to send now to the source, if there is one, and to the followers.
     std::vector<feed_datagram> dueBatches(const std::optional<endpoint> &source, const std::vector<endpoint> &followers);
     /// Merges a batch of another daemon's table. Returns its acknowledgement.
-    feed_datagram receiveBatch(const constraint_batch &list, const endpoint &from);
+    feed_datagram receiveBatch(const constraint_batch &batch, const endpoint &from);
     /// Calls didLearnLeaving if received batches contained replicas that leave since the last call.
     void notifyDepartures();
     /// Handles the acknowledgement of a batch that was sent.
-    void receiveAck(const constraint_ack &receipt, const endpoint &from);
+    void receiveAck(const constraint_ack &ack, const endpoint &from);
     /// As the source: issues permits to the daemon at the address \a asker. The answer may grant none.
-    permit_response issue(const permit_request &question, const endpoint &asker);
+    permit_response issue(const permit_request &request, const endpoint &asker);
     /// Stores granted permits, and wakes the threads in awaitPermit().
-    void addPermits(const permit_response &answer);
+    void addPermits(const permit_response &response);
     /// Discards the record of issued permits, when this daemon becomes the source or stops being it: those have expired by then.
     void resetPermits();
 
--- a/Libraries/Entry/shared_suspects.cpp
+++ b/Libraries/Entry/shared_suspects.cpp
@@ -169,16 +169,16 @@
     return collectDueBatches(d->spread, d->table, source, followers, monotonicNow());
 }
 
-feed_datagram shared_suspects::receiveBatch(const suspect_batch &list, const endpoint &from)
+feed_datagram shared_suspects::receiveBatch(const suspect_batch &batch, const endpoint &from)
 {
     const std::lock_guard lock(d->mutex);
-    return d->change("another daemon tells of it", [&] { return applyBatch(d->spread, d->table, list, from, monotonicNow()); });
+    return d->change("another daemon tells of it", [&] { return applyBatch(d->spread, d->table, batch, from, monotonicNow()); });
 }
 
-void shared_suspects::receiveAck(const suspect_ack &receipt, const endpoint &from)
+void shared_suspects::receiveAck(const suspect_ack &ack, const endpoint &from)
 {
     const std::lock_guard lock(d->mutex);
-    applyAck(d->spread, receipt, from);
+    applyAck(d->spread, ack, from);
 }
 
 } // namespace vetchpost
--- a/Libraries/Entry/shared_suspects.h
+++ b/Libraries/Entry/shared_suspects.h
@@ -39,9 +39,9 @@
     /// Returns the batches to send now to the source, if there is one, and to the followers.
     std::vector<feed_datagram> dueBatches(const std::optional<endpoint> &source, const std::vector<endpoint> &followers);
     /// Merges a batch of another daemon's table. Returns its acknowledgement.
-    feed_datagram receiveBatch(const suspect_batch &list, const endpoint &from);
+    feed_datagram receiveBatch(const suspect_batch &batch, const endpoint &from);
     /// Handles the acknowledgement of a batch that was sent.
-    void receiveAck(const suspect_ack &receipt, const endpoint &from);
+    void receiveAck(const suspect_ack &ack, const endpoint &from);
 
 private:
     struct private_data;
--- a/Libraries/Feed/feed_messages.h
+++ b/Libraries/Feed/feed_messages.h
@@ -34,8 +34,9 @@
     std::uint64_t nonce = 0;
     /// The key-value service's revision up to which the follower has the replicas' entries; 0 if it has none.
     std::uint64_t replicasUpTo = 0;
-    /// Whether the follower wants the changes of replicas' entries. Before its first request a daemon routes nothing, and the entries of
-    /// whole groups are written at once: it then reads them from the service itself, with some delay.
+    /// Whether the follower wants the changes of replicas' entries. A daemon that has not had a request yet may do without them, since it
+    /// routes nothing and the entries of whole groups are written at once. It reads the entries from the key-value service itself, with
+    /// some delay.
     bool wantsReplicas = true;
     /// Requests held by the follower and by the daemons behind it.
     std::vector<model_demand> demand;
@@ -133,10 +134,10 @@
     std::uint64_t upTo = 0;
 };
 
-/// Batches of requests under which replicas ended, and their acknowledgements.
+/// Batches of reports on requests that were at a replica when it terminated, and their acknowledgements.
 using suspect_batch = sync_batch<suspect_report>;
 using suspect_ack = sync_ack<suspect_report>;
-/// Batches of replicas that named a rate limit or are leaving, and their acknowledgements.
+/// Batches of reports on replicas that announced a rate limit or are leaving, and their acknowledgements.
 using constraint_batch = sync_batch<constraint_report>;
 using constraint_ack = sync_ack<constraint_report>;
 
--- a/Libraries/Feed/feed_role.h
+++ b/Libraries/Feed/feed_role.h
@@ -11,8 +11,7 @@
     /// Whether a source has answered this daemon since it was last the source itself. Such a daemon serves followers as a relay; while its
     /// own source is lost it reads the key-value service for them.
     bool hasReceivedFeed = false;
-    /// Whether this daemon is shutting down: it goes on following its source, but no longer serves followers as
-    /// a relay.
+    /// Whether this daemon is shutting down: it goes on following its source, but no longer serves followers as a relay.
     bool isEnding = false;
 };
 
--- a/Libraries/Feed/table_sync.h
+++ b/Libraries/Feed/table_sync.h
@@ -9,9 +9,9 @@
 #include <set>
 #include <vector>
 
-/// Replication of the tables that all daemons keep (requests under which replicas ended, constraints of replicas) along the links of the
-/// feed: a daemon sends all its entries up to its source, and the entries that concern all daemons down to its followers. A batch is resent
-/// until it is acknowledged, so that a lost datagram costs one batchResendPeriod; nothing is sent while nothing changes.
+/// Replication of the tables that all daemons keep (requests that were at a replica when it terminated, constraints of replicas) along the
+/// links of the feed: a daemon sends all its entries up to its source, and the entries that concern all daemons down to its followers. A
+/// batch is resent until it is acknowledged, so that a lost datagram costs one batchResendPeriod; nothing is sent while nothing changes.
 namespace vetchpost {
 
 /// A batch without an acknowledgement is resent after this time.
--- a/Libraries/Groups/planning.h
+++ b/Libraries/Groups/planning.h
@@ -51,7 +51,7 @@
     /// A group that still has work after this time counts as drained.
     duration drainTimeout{600000};
     /// How long a new coordinator waits for observations of all members before it plans. An instance whose observer was replaced counts
-    /// as missing after the same time (cluster_state's wordGrace).
+    /// as missing after the same time (unobservedGrace in cluster_state_data.cpp).
     duration viewGrace{5000};
     /// At most this share of a deployment's groups, but at least one group, drains at a time because there are more than wanted, so that a
     /// wrong count is noticed before all groups are down.
--- a/Libraries/Peers/exchange.cpp
+++ b/Libraries/Peers/exchange.cpp
@@ -55,9 +55,9 @@
     return &known;
 }
 
-/// Raises the incarnation of this daemon above a higher one that a peer reports. That is an earlier run of this daemon whose clock ran
-/// ahead, or which started at the same time; without the raise, peers would ignore the present run. The low part of the number stays,
-/// because another earlier run may have been raised above the same incarnation before.
+/// Raises the incarnation of this daemon above one that a peer reports, if that is higher, or the same with a higher heartbeat. It belongs
+/// to an earlier run of this daemon whose clock ran ahead, or which started at the same time; without the raise, peers would ignore the
+/// present run. The low part of the number stays, because another earlier run may have been raised above the same incarnation before.
 void raiseOwnIncarnation(exchange_state &state, incarnation reportedRun, std::uint64_t reportedHeartbeat)
 {
     auto &own = state.origins.at(state.self);
--- a/Libraries/Peers/exchange.h
+++ b/Libraries/Peers/exchange.h
@@ -56,7 +56,7 @@
     duration deadAfter{15000};
     /// The state of a daemon is removed when its heartbeat has not risen for longer than this time.
     duration removeAfter{600000};
-    /// A longer gap between two ticks of this daemon means that its own process was paused.
+    /// A longer gap between two calls of advanceHeartbeat() means that the process of this daemon was paused.
     duration pauseThreshold{3000};
 };
 
@@ -75,6 +75,7 @@
     std::map<daemon_id, peer_origin> origins;
     std::map<std::string, shared_register> registers;
     liveness_limits limits;
+    /// When advanceHeartbeat() was last called; nothing before its first call.
     std::optional<instant> lastTick;
 };
 
--- a/Libraries/Requests/router.h
+++ b/Libraries/Requests/router.h
@@ -41,8 +41,8 @@
     double slowFactor = 2;
 };
 
-/// The replicas to choose from. Their loads are queried one at a time, because a choice examines a number of them that does not grow with
-/// the fleet.
+/// The replicas to choose from. Their loads are queried one at a time, because a choice usually examines only a few of them, however many
+/// there are.
 struct replica_choices
 {
     /// The replicas' positions on the consistent-hashing ring of prefixes, in ascending order.
--- a/Libraries/Settings/entry_settings.h
+++ b/Libraries/Settings/entry_settings.h
@@ -18,6 +18,7 @@
 {
     daemon_id daemon;
     data_centre_id dataCentre;
+    /// Serves the clients' requests.
     endpoint callers;
     /// The load balancer checks here whether this daemon accepts new connections.
     endpoint readiness;
--- a/Tests/Assembly/testDemandShares.cpp
+++ b/Tests/Assembly/testDemandShares.cpp
@@ -35,7 +35,8 @@
 
 TEST_CASE("Shares move half the way to groups that hold equally many requests each")
 {
-    // Groups would hold equally many requests with shares of 0.4 and 0.6; the result is the geometric mean, normalised.
+    // Groups would hold equally many requests with shares of 0.4 and 0.6. Half the way there from the configured shares of 0.5 is the
+    // geometric mean of both, normalised.
     const auto shares = sharesWith(80, 240);
     CHECK(shares.at(large) == Approx(0.449).margin(0.001));
     CHECK(shares.at(small) == Approx(0.551).margin(0.001));
--- a/Tests/Feed/feedSimulation.h
+++ b/Tests/Feed/feedSimulation.h
@@ -56,7 +56,7 @@
     /// Returns the source at which the daemon's feed originates; nothing on the source itself, or before the first update.
     std::optional<endpoint> originOf(int daemon) const;
 
-    /// Records at a daemon that a replica ended under a request.
+    /// Records at a daemon that a replica terminated while a request was there.
     void endReplica(int daemon, const request_identity &request, replica_end end);
     /// Advances the time until all daemons that are not disconnected refuse a request. Returns how long that takes, or nothing if it takes
     /// longer than \a longest.
--- a/Tests/Feed/limitSimulation.cpp
+++ b/Tests/Feed/limitSimulation.cpp
@@ -15,7 +15,7 @@
 /// A daemon counts as informed this long after it has relayed the first answer that named a limit.
 constexpr duration informedDelay(500);
 constexpr double ticksPerSecond = 100;
-/// One request in this number needs a connection that is slow to be established.
+/// On average one of this many requests is sent on a connection that is slow to be established.
 constexpr int slowConnectionInterval = 10;
 /// In milliseconds.
 constexpr int maxConnectTime = 250;
--- a/Tests/Feed/testFeedRelays.cpp
+++ b/Tests/Feed/testFeedRelays.cpp
@@ -36,7 +36,7 @@
 } // namespace
 
 // Without relays the source of 195 daemons would send about 15 Mbit/s (99 KB in ten seconds to each of 194 followers), while a small
-// instance's link has 20 Mbit/s.
+// instance's link has 20 Mbit/s. The bound of 2 MB in ten seconds is 1.6 Mbit/s.
 TEST_CASE("The source's traffic grows far more slowly than the number of daemons, and a relay's traffic is bounded")
 {
     std::map<int, feed_simulation::traffic> source;
--- a/Tests/Feed/testSuspectSync.cpp
+++ b/Tests/Feed/testSuspectSync.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// How soon all daemons refuse a request under which three replicas have ended, simulated with the code that the daemons run.
+// How soon all daemons refuse a request after three replicas have terminated while it was there, simulated with the code that the daemons
+// run.
 #include "Tests/Feed/feedSimulation.h"
 
 #include <catch2/catch.hpp>
@@ -23,7 +24,7 @@
     return simulation;
 }
 
-/// Ends three replicas, each under the request at a different daemon.
+/// Records the termination of three replicas that had the request, each at a different daemon.
 void endThreeReplicas(feed_simulation &simulation)
 {
     for (int number = 0; number < 3; ++number) {
--- a/Tests/PlatformAdapter/testCrashingRequests.cpp
+++ b/Tests/PlatformAdapter/testCrashingRequests.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // A request that crashes every replica which begins to run it arrives again and again under new ids at all daemons. If each daemon treats
 // these as unrelated requests and retries each of them as often as its route allows, group heads crash in quick succession, each with all
-// requests in flight, and every new group receives the request as well. All these requests have the same identity: the digest of
-// organisation, method, host, path and body.
+// requests in flight, and every new group receives the request as well, so that most of a model's streams are refused or break off. All
+// these requests have the same identity: the digest of organisation, method, host, path and body.
 #include "Libraries/Feed/feed_messages.h"
 #include "Tests/PlatformAdapter/relayFixture.h"
 
--- a/Tests/ReplicaLimit/testReplicaLimit.cpp
+++ b/Tests/ReplicaLimit/testReplicaLimit.cpp
@@ -11,7 +11,7 @@
 
 /// The rate limit in requests per second.
 constexpr double announcedLimit = 1;
-/// The most requests allowed in any window: 1.5 times the limit, plus five.
+/// The most requests allowed in any window of four seconds: one and a half times what the limit allows in it, and five more.
 constexpr int mostInWindow = 11;
 constexpr duration window(4000);
 /// Only requests that arrive at least this long after the first one are counted.
--- a/Tests/Requests/testRetryLimit.cpp
+++ b/Tests/Requests/testRetryLimit.cpp
@@ -15,9 +15,10 @@
     CHECK(79 * maxRetriesPerDaemon(273, std::nullopt) <= 273);
 }
 
-// Guards against exceeding the limit on retries after all daemons were killed and restarted. A coordinator that has just started as well
-// knows only some of the daemons at first (8, 19, 31, 43 and finally 79), so that a daemon that was given the number 8 used ten times its
-// part of the slack. In addition each start granted a full part again, whatever the daemon had sent before.
+// Guards against a fault that users saw: after all daemons had been killed and restarted, they sent more retries within ten seconds than
+// the limit allows. A coordinator that has just started as well knows only some of the daemons at first (8, 19, 31, 43 and finally 79), so
+// that a daemon that was given the number 8 used ten times its part of the slack. In addition each start granted a full part again,
+// whatever the daemon had sent before.
 TEST_CASE("Daemons that all restart at once stay within the slack for retries, although they discover each other one by one")
 {
     constexpr int daemons = 79;
--- a/Tests/Soak/notice_checks.cpp
+++ b/Tests/Soak/notice_checks.cpp
@@ -45,7 +45,8 @@
     return result;
 }
 
-/// Returns whether the event ends the state of the replica's process. A restarted replica has none of it, even under the same id.
+/// Returns whether the event starts or ends a process of the replica. The notices of one process do not hold for the next one, even under
+/// the same id.
 bool endsIncarnation(const platform_event &event)
 {
     return event.what == "started" || event.what == "gone";
--- a/Tests/Soak/soak_client.cpp
+++ b/Tests/Soak/soak_client.cpp
@@ -34,10 +34,11 @@
 constexpr int streamPercent = 45;
 constexpr int idempotentPercent = 30;
 constexpr int nonIdempotentPercent = 18;
-/// One in this many streams is abandoned after its first event, one in this many requests uses a changing key, and one in this many
-/// requests opens a new connection although there is an open one.
+/// One in this many streams is abandoned after its first event.
 constexpr int abandonOneIn = 20;
+/// One in this many requests uses a changing key.
 constexpr int changingKeyOneIn = 8;
+/// One in this many attempts opens a new connection although there is an open one.
 constexpr int newConnectionOneIn = 8;
 constexpr int notRunTooMany = 429;
 constexpr int notRunUnavailable = 503;
--- a/Tests/Soak/soak_run.cpp
+++ b/Tests/Soak/soak_run.cpp
@@ -330,7 +330,7 @@
         m_scheduledActions.emplace(end, [control, name, off] { setFaults(control, makeSwitch(name, off)); });
     }
 
-    /// Applies a switch to one replica until \a end, then restores all replicas that are dark or gone.
+    /// Applies a switch to one replica until \a end, then revives all replicas that are cut off or have ended.
     void disturbReplica(const char *switchName, const std::string &id, instant end)
     {
         Json::Value ids(Json::arrayValue);
@@ -339,7 +339,7 @@
         m_scheduledActions.emplace(end, [this] { setFaults(m_cluster.replicaControl(), makeSwitch("revive", true)); });
     }
 
-    /// Returns the id of a replica that receives requests, the head of an open group or a replica without models. Empty if there is none.
+    /// Returns the id of a replica that receives requests: the head of an open group, or a replica without models. Empty if there is none.
     std::string servingReplica(int randomNumber) const
     {
         std::vector<std::string> serving;
--- a/Tests/Soak/soak_schedule.h
+++ b/Tests/Soak/soak_schedule.h
@@ -35,10 +35,13 @@
     silent_store,
     refusing_store,
     slow_store,
+    /// Some calls get no answer.
     losing_store,
+    /// The store discards its history of changes.
     forgetting_store,
     // Faults of replicas.
     kill_replica,
+    /// The replica is cut off from the network.
     dark_replica,
     drain_replica,
     slow_replicas,
--- a/Tests/StandIns/platform/replica_host.h
+++ b/Tests/StandIns/platform/replica_host.h
@@ -29,6 +29,7 @@
 struct host_options
 {
     duration heartbeat{400};
+    /// The time that a replica takes for one token of a stream; an answer of a plain service takes a few of them.
     duration step{10};
     std::uint16_t basePort = 0;
 };
@@ -56,7 +57,7 @@
     };
     /// Returns the entries of all replicas that are alive and not cut off.
     std::vector<desired_entry> desiredEntries();
-    /// Schedules the end of a draining replica, called once the store has accepted the entry that says so. Later calls have no effect.
+    /// Schedules the end of a replica whose draining entry the store has accepted. Later calls have no effect.
     void scheduleTermination(const std::string &id);
 
 private:
--- a/Tests/StandIns/platform/replica_model.cpp
+++ b/Tests/StandIns/platform/replica_model.cpp
@@ -108,7 +108,7 @@
     }
 }
 
-/// Returns how long a join takes. Weights are loaded from the store only if neither the replica nor its host has them or is loading them.
+/// Returns how long a join takes. Weights are loaded only if neither the replica nor its host has them or is loading them.
 duration joinTime(replica_simulation &simulation, const stand_in_replica &replica, const std::string &model, instant now)
 {
     if (replica.lastModel == model) {
--- a/Tests/StandIns/platform/replica_model.h
+++ b/Tests/StandIns/platform/replica_model.h
@@ -79,12 +79,18 @@
     int waiting = 0;
 };
 
+/// How long the state changes of replicas take.
 struct replica_timing
 {
+    /// A join with the model of the replica's last group.
     duration rejoin{200};
+    /// A join with a model whose weights the replica's host holds.
     duration warm{100};
+    /// A load of a model's weights, for any other join or onto the host.
     duration load{300};
+    /// From the order to open a group until its head serves.
     duration form{50};
+    /// From the loss of a member until the head gives up and its group is broken.
     duration stall{1500};
 };
 
--- a/Tests/StandIns/platform/standInStore.cpp
+++ b/Tests/StandIns/platform/standInStore.cpp
@@ -37,12 +37,13 @@
     std::atomic<bool> isSilent = false;
     std::atomic<bool> refuses = false;
     std::atomic<std::uint64_t> delayMs = 0;
+    /// By how much the answers to watches are delayed.
     std::atomic<std::uint64_t> holdWatchesMs = 0;
     /// Calls that take effect without an answer.
     fault_probability loseAnswers;
-    /// Number of following listings that lose their answers, of those that must not be stale.
+    /// Number of following listings whose answers are lost. Listings that may be stale are not counted.
     std::atomic<std::int64_t> loseListings = 0;
-    /// Calls that are refused with status 503.
+    /// Calls that are refused with status 503 at random; `refuses` refuses all calls.
     fault_probability deny;
 
     void set(const Json::Value &json)
--- a/Utilities/vetchpost/operator_client.h
+++ b/Utilities/vetchpost/operator_client.h
@@ -17,8 +17,8 @@
                                      const std::string &target,
                                      const std::string &body = {},
                                      const std::vector<http_header> &headers = {});
-/// Fetches JSON from the daemon with a GET request. Prints the error and returns nothing if there is no reply or it is an error; returns
-/// nothing too if the body is not JSON.
+/// Fetches JSON from the daemon with a GET request. Returns nothing if there is no reply or its status is not a success, and prints why.
+/// Returns nothing without a message if the body is not JSON.
 std::optional<Json::Value> fetchJson(const command_options &options, const std::string &target);
 /// Prints the error of a reply with its list of problems and the conflicting edits; the status alone if the body is not a JSON object.
 void printErrorReply(const http_reply &reply);
