--- a/Libraries/Daemon/caller_interface.cpp
+++ b/Libraries/Daemon/caller_interface.cpp
@@ -69,14 +69,14 @@
 
     bool hasAllRoutes() const
     {
-        return context.cluster.routing().read([](const routing_snapshot &snapshot) { return snapshot.hasHeardOfGroups; });
+        return context.cluster.routing().read([](const routing_snapshot &snapshot) { return snapshot.hasReceivedGroups; });
     }
 
     /// Returns whether a route of the deployment is known, or the routes are complete.
     bool hasRoutesOrIsComplete(const deployment_id &target) const
     {
         return context.cluster.routing().read([&](const routing_snapshot &snapshot) {
-            if (snapshot.hasHeardOfGroups) {
+            if (snapshot.hasReceivedGroups) {
                 return true;
             }
             const auto *routes = snapshot.find(target);
--- a/Libraries/Daemon/cluster_state.cpp
+++ b/Libraries/Daemon/cluster_state.cpp
@@ -101,7 +101,7 @@
             remote.push_back(summary);
         }
         next = d->builder.build({d->head.current, d->wanted, d->allotted, d->tracker, remote, now});
-        next.hasHeardOfGroups = d->hasHeardOfGroups();
+        next.hasReceivedGroups = d->hasReceivedGroups();
     }
     d->snapshot.replace(std::move(next));
 }
--- a/Libraries/Daemon/cluster_state_data.cpp
+++ b/Libraries/Daemon/cluster_state_data.cpp
@@ -116,7 +116,7 @@
     }
 }
 
-bool cluster_state::private_data::hasHeardOfGroups() const
+bool cluster_state::private_data::hasReceivedGroups() const
 {
     if (findRegister(exchange, exchange_names::allotment) == nullptr) {
         return false;
--- a/Libraries/Daemon/cluster_state_data.h
+++ b/Libraries/Daemon/cluster_state_data.h
@@ -58,7 +58,7 @@
     /// Updates the tracker with the observations that other daemons published, except for the instances that this daemon probes.
     void mergeObservations(instant now);
     /// Whether the groups are known and each member has either reported a state or been found missing.
-    bool hasHeardOfGroups() const;
+    bool hasReceivedGroups() const;
     /// Records the state of each group and logs the changes.
     void recordGroupStates(instant now);
     /// Whether the shares can be computed: the instance list is known, and the other data centres had time to send their summaries.
--- a/Libraries/Daemon/daemon.cpp
+++ b/Libraries/Daemon/daemon.cpp
@@ -64,7 +64,7 @@
     worker_pool orderWorkers{orderThreads};
     worker_pool observerWorkers{observerThreads};
     peer_service peers;
-    replica_backoffs rests;
+    replica_backoffs backoffs;
     admission admissions;
     claim_service claims;
     gateway_context context;
@@ -83,9 +83,9 @@
         , cluster(settings, run)
         , keyValue(settings.keyValue, counters)
         , peers(settings, cluster, counters, peerWorkers)
-        , admissions(cluster.routing(), rests, counters)
+        , admissions(cluster.routing(), backoffs, counters)
         , claims(settings, keyValue, counters, platformWorkers)
-        , context{settings, cluster, rests, admissions, claims, peers, counters, request_counters(counters)}
+        , context{settings, cluster, backoffs, admissions, claims, peers, counters, request_counters(counters)}
         , coordinator(settings, cluster, keyValue, counters, platformWorkers, orderWorkers, [this] { peers.exchangeNow(); })
         , configurations(
               cluster, keyValue, [this] { return coordinator.isCoordinating(); }, [this] { peers.exchangeNow(); })
--- a/Libraries/Daemon/routing_snapshot.h
+++ b/Libraries/Daemon/routing_snapshot.h
@@ -68,7 +68,7 @@
     std::shared_ptr<const configuration> wanted;
     std::vector<deployment_routes> deployments;
     /// Whether the groups are known and every member has reported, so that the routes are complete.
-    bool hasHeardOfGroups = false;
+    bool hasReceivedGroups = false;
 
     /// Returns the routes of a deployment, or null if the configuration does not contain it.
     const deployment_routes *find(const deployment_id &id) const
--- a/Libraries/Entry/assembly_metrics.cpp
+++ b/Libraries/Entry/assembly_metrics.cpp
@@ -45,7 +45,7 @@
     const auto count = static_cast<double>(free);
     findOrAddGauge(freeName, freeHelp, {{"service", service.value()}}).set(count);
     findOrAddGauge(strandedName, strandedHelp, {{"service", service.value()}}).set(doesAnyLackGroups ? count : 0);
-    for (const auto time : vetchpost::recordGroupCounts(m_repairWatches[service], models, now)) {
+    for (const auto time : vetchpost::recordGroupCounts(m_repairTimers[service], models, now)) {
         m_repairTime.observe(secondsOf(time));
     }
 }
@@ -53,13 +53,13 @@
 void assembly_metrics::recordStallReport(const instance_id &head, instant now)
 {
     const std::lock_guard lock(m_mutex);
-    vetchpost::recordStallReport(m_stallWatch, head, now);
+    vetchpost::recordStallReport(m_stallTimer, head, now);
 }
 
 void assembly_metrics::recordSilentMember(const instance_id &head, instant now)
 {
     const std::lock_guard lock(m_mutex);
-    if (const auto time = vetchpost::recordDetection(m_stallWatch, head, now)) {
+    if (const auto time = vetchpost::recordDetection(m_stallTimer, head, now)) {
         m_detectionTime.observe(secondsOf(*time));
     }
 }
@@ -70,8 +70,8 @@
     for (const auto &[key, value] : m_gauges) {
         value.set(0);
     }
-    m_repairWatches.clear();
-    m_stallWatch = loss_timer();
+    m_repairTimers.clear();
+    m_stallTimer = loss_timer();
 }
 
 const gauge &assembly_metrics::findOrAddGauge(const std::string &name, const std::string &help, const std::vector<metric_label> &labels)
--- a/Libraries/Entry/assembly_metrics.h
+++ b/Libraries/Entry/assembly_metrics.h
@@ -37,8 +37,8 @@
     std::mutex m_mutex;
     /// Gauges by name and label values. Added at run time, since models and services come with the configuration.
     std::map<std::string, gauge> m_gauges;
-    std::map<service_id, loss_timer> m_repairWatches;
-    loss_timer m_stallWatch;
+    std::map<service_id, loss_timer> m_repairTimers;
+    loss_timer m_stallTimer;
 };
 
 } // namespace vetchpost
--- a/Libraries/Entry/shared_constraints.cpp
+++ b/Libraries/Entry/shared_constraints.cpp
@@ -56,9 +56,9 @@
     mutable std::mutex mutex;
     mutable std::condition_variable answered;
     replica_constraints table;
-    table_sync<replica_constraints> spread;
+    table_sync<replica_constraints> sync;
     permit_issuer issuer;
-    permit_holder wallet;
+    permit_holder permitHolder;
     std::map<replica_key, send_count> sendCounts;
     instant cleanedAt;
     /// Whether any constraint is known. While there is none, requests need not lock the mutex.
@@ -67,7 +67,7 @@
     /// Whether received batches contained departures for which didLearnLeaving has not been called yet.
     std::atomic<bool> hasPendingDepartures = false;
     counter limits;
-    counter rests;
+    counter backoffs;
     counter departures;
     counter unreadable;
     counter issued;
@@ -77,7 +77,7 @@
     private_data(metrics &counters, std::function<void()> leavingListener)
         : didLearnLeaving(std::move(leavingListener))
         , limits(addNoticeCounter(counters, "limit"))
-        , rests(addNoticeCounter(counters, "rest"))
+        , backoffs(addNoticeCounter(counters, "rest"))
         , departures(addNoticeCounter(counters, "leaving"))
         , unreadable(addNoticeCounter(counters, "unreadable"))
         , issued(addPermitCounter(counters, "issued"))
@@ -102,7 +102,7 @@
     {
         const auto &constraint = table.entries.at(replica);
         limits.increment(change.hasLimit ? 1 : 0);
-        rests.increment(change.hasBackoff ? 1 : 0);
+        backoffs.increment(change.hasBackoff ? 1 : 0);
         departures.increment(change.isLeaving ? 1 : 0);
         constraintLog.writeEssential("replica_notice",
                                      {{"replica", replica.replica.value()},
@@ -145,7 +145,7 @@
         cleanedAt = now;
         expireEntries(table, now);
         removeUnlimited(issuer, table);
-        removeUnlimited(wallet, table);
+        removeUnlimited(permitHolder, table);
         std::erase_if(sendCounts, [&](const auto &entry) { return !table.entries.contains(entry.first); });
         hasAny = !table.entries.empty();
     }
@@ -215,7 +215,7 @@
     for (const auto &target : candidates) {
         replica.replica = target.replica;
         replica.incarnation = target.incarnation;
-        const auto block = wasTried(tried, target) ? replica_block() : blockOf(d->table, d->wallet, replica, now);
+        const auto block = wasTried(tried, target) ? replica_block() : blockOf(d->table, d->permitHolder, replica, now);
         if (block.cause == block_cause::none) {
             continue;
         }
@@ -239,10 +239,10 @@
     for (std::size_t i = 0; i < candidates.size(); ++i) {
         const auto &target = candidates[(i + draw) % candidates.size()];
         const auto replica = keyOf(target);
-        if (wasTried(tried, target) || blockOf(d->table, d->wallet, replica, now).cause != block_cause::limit) {
+        if (wasTried(tried, target) || blockOf(d->table, d->permitHolder, replica, now).cause != block_cause::limit) {
             continue;
         }
-        if (auto request = vetchpost::nextPermitRequest(d->wallet, replica, now)) {
+        if (auto request = vetchpost::nextPermitRequest(d->permitHolder, replica, now)) {
             request->report = makeReport(replica, *findConstraint(d->table, replica), now);
             return request;
         }
@@ -261,7 +261,7 @@
     if (known == nullptr || !known->rateLimit) {
         return true;
     }
-    const bool isTaken = vetchpost::consumePermit(d->wallet, replica, monotonicNow());
+    const bool isTaken = vetchpost::consumePermit(d->permitHolder, replica, monotonicNow());
     d->used.increment(isTaken ? 1 : 0);
     return isTaken;
 }
@@ -280,14 +280,14 @@
     const std::lock_guard lock(d->mutex);
     const auto now = monotonicNow();
     d->clean(now);
-    return collectDueBatches(d->spread, d->table, source, followers, now);
+    return collectDueBatches(d->sync, d->table, source, followers, now);
 }
 
 feed_datagram shared_constraints::receiveBatch(const constraint_batch &batch, const endpoint &from)
 {
     const std::lock_guard lock(d->mutex);
     const auto before = d->table.changes;
-    auto ack = applyBatch(d->spread, d->table, batch, from, monotonicNow());
+    auto ack = applyBatch(d->sync, d->table, batch, from, monotonicNow());
     for (const auto &report : batch.reports) {
         const auto *known = findConstraint(d->table, report.replica);
         if (known != nullptr && known->changed > before) {
@@ -309,13 +309,13 @@
 void shared_constraints::receiveAck(const constraint_ack &ack, const endpoint &from)
 {
     const std::lock_guard lock(d->mutex);
-    applyAck(d->spread, ack, from);
+    applyAck(d->sync, ack, from);
 }
 
-permit_response shared_constraints::issue(const permit_request &request, const endpoint &asker)
+permit_response shared_constraints::issue(const permit_request &request, const endpoint &requester)
 {
     const std::lock_guard lock(d->mutex);
-    auto response = answerPermitRequest(d->issuer, d->table, request, asker, monotonicNow());
+    auto response = answerPermitRequest(d->issuer, d->table, request, requester, monotonicNow());
     d->hasAny = !d->table.entries.empty();
     d->issued.increment(response.granted);
     return response;
@@ -325,7 +325,7 @@
 {
     {
         const std::lock_guard lock(d->mutex);
-        if (acceptResponse(d->wallet, response, monotonicNow()) && response.granted == 0) {
+        if (acceptResponse(d->permitHolder, response, monotonicNow()) && response.granted == 0) {
             d->denied.increment();
         }
     }
--- a/Libraries/Entry/shared_constraints.h
+++ b/Libraries/Entry/shared_constraints.h
@@ -72,8 +72,8 @@
     void notifyDepartures();
     /// Handles the acknowledgement of a batch that was sent.
     void receiveAck(const constraint_ack &ack, const endpoint &from);
-    /// As the source: issues permits to the daemon at the address \a asker. The answer may grant none.
-    permit_response issue(const permit_request &request, const endpoint &asker);
+    /// As the source: issues permits to the daemon at the address \a requester. The answer may grant none.
+    permit_response issue(const permit_request &request, const endpoint &requester);
     /// Stores granted permits, and wakes the threads in awaitPermit().
     void addPermits(const permit_response &response);
     /// Discards the record of issued permits, when this daemon becomes the source or stops being it: those have expired by then.
--- a/Libraries/Entry/shared_suspects.cpp
+++ b/Libraries/Entry/shared_suspects.cpp
@@ -30,7 +30,7 @@
 {
     mutable std::mutex mutex;
     crash_suspects table;
-    table_sync<crash_suspects> spread;
+    table_sync<crash_suspects> sync;
     recent_answers answers;
     std::atomic<bool> hasAny = false;
     counter ends;
@@ -166,19 +166,19 @@
 std::vector<feed_datagram> shared_suspects::dueBatches(const std::optional<endpoint> &source, const std::vector<endpoint> &followers)
 {
     const std::lock_guard lock(d->mutex);
-    return collectDueBatches(d->spread, d->table, source, followers, monotonicNow());
+    return collectDueBatches(d->sync, d->table, source, followers, monotonicNow());
 }
 
 feed_datagram shared_suspects::receiveBatch(const suspect_batch &batch, const endpoint &from)
 {
     const std::lock_guard lock(d->mutex);
-    return d->change("another daemon tells of it", [&] { return applyBatch(d->spread, d->table, batch, from, monotonicNow()); });
+    return d->change("another daemon tells of it", [&] { return applyBatch(d->sync, d->table, batch, from, monotonicNow()); });
 }
 
 void shared_suspects::receiveAck(const suspect_ack &ack, const endpoint &from)
 {
     const std::lock_guard lock(d->mutex);
-    applyAck(d->spread, ack, from);
+    applyAck(d->sync, ack, from);
 }
 
 } // namespace vetchpost
--- a/Tests/Docs/compareTable.sh
+++ b/Tests/Docs/compareTable.sh
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-# compareTable WHAT WRITTEN DOCUMENTED: both are sorted lists, a name a line; fails where either has a name that the other lacks.
+# compareTable WHAT WRITTEN DOCUMENTED: both are sorted lists with one name per line; fails if either has a name that the other lacks.
 compareTable() {
     [ "$(wc -l <<<"$2")" -ge 20 ] || { echo "FAILED: only $(wc -l <<<"$2") $1 were found in the code"; return 1; }
     local undocumented absent
--- a/Tests/Feed/limitSimulation.cpp
+++ b/Tests/Feed/limitSimulation.cpp
@@ -158,22 +158,23 @@
     } else if (const auto *permitRequest = std::get_if<permit_request>(&message); permitRequest != nullptr && m_feed.isSource(daemon)) {
         m_feed.send(daemon, {{from}, issueAtSource(daemon, *permitRequest, from)});
     } else if (const auto *answer = std::get_if<permit_response>(&message)) {
-        acceptResponse(next.wallet, *answer, m_feed.now());
+        acceptResponse(next.permitHolder, *answer, m_feed.now());
     }
 }
 
-permit_response limit_simulation::issueAtSource(int daemon, const permit_request &permitRequest, const endpoint &asker)
+permit_response limit_simulation::issueAtSource(int daemon, const permit_request &permitRequest, const endpoint &requester)
 {
     auto &source = m_nodes[static_cast<std::size_t>(daemon)];
-    return answerPermitRequest(source.issuer, source.table, permitRequest, asker, m_feed.now());
+    return answerPermitRequest(source.issuer, source.table, permitRequest, requester, m_feed.now());
 }
 
 void limit_simulation::requestPermits(int daemon, const permit_request &permitRequest)
 {
     ++m_permitRequests;
     if (m_feed.isSource(daemon)) {
-        acceptResponse(
-            m_nodes[static_cast<std::size_t>(daemon)].wallet, issueAtSource(daemon, permitRequest, m_feed.addressOf(daemon)), m_feed.now());
+        acceptResponse(m_nodes[static_cast<std::size_t>(daemon)].permitHolder,
+                       issueAtSource(daemon, permitRequest, m_feed.addressOf(daemon)),
+                       m_feed.now());
     } else if (const auto origin = m_feed.originOf(daemon)) {
         m_feed.send(daemon, {{*origin}, permitRequest});
     }
@@ -184,17 +185,17 @@
 {
     auto &next = m_nodes[static_cast<std::size_t>(daemon)];
     const auto now = m_feed.now();
-    if (blockOf(next.table, next.wallet, replica, now).cause == block_cause::limit) {
-        if (auto permitRequest = nextPermitRequest(next.wallet, replica, now)) {
+    if (blockOf(next.table, next.permitHolder, replica, now).cause == block_cause::limit) {
+        if (auto permitRequest = nextPermitRequest(next.permitHolder, replica, now)) {
             permitRequest->report = makeReport(replica, *findConstraint(next.table, replica), now);
             requestPermits(daemon, *permitRequest);
         }
     }
-    const auto closure = blockOf(next.table, next.wallet, replica, now);
-    if (closure.cause != block_cause::none) {
+    const auto block = blockOf(next.table, next.permitHolder, replica, now);
+    if (block.cause != block_cause::none) {
         return;
     }
-    consumePermit(next.wallet, replica, now);
+    consumePermit(next.permitHolder, replica, now);
     const bool isSlow = m_random() % slowConnectionInterval == 0;
     const auto transit = duration(isSlow ? m_random() % maxConnectTime : usualConnectTime);
     m_inFlight.push_back({now + transit, daemon});
--- a/Tests/Feed/limitSimulation.h
+++ b/Tests/Feed/limitSimulation.h
@@ -60,7 +60,7 @@
     {
         replica_constraints table;
         table_sync<replica_constraints> sync;
-        permit_holder wallet;
+        permit_holder permitHolder;
         permit_issuer issuer;
         bool wasSource = false;
         /// When the daemon relayed the first answer that named a limit.
@@ -86,7 +86,7 @@
     void receive(int daemon, const endpoint &from, const feed_message &message);
     void routeRequest(int daemon);
     void requestPermits(int daemon, const permit_request &permitRequest);
-    permit_response issueAtSource(int daemon, const permit_request &permitRequest, const endpoint &asker);
+    permit_response issueAtSource(int daemon, const permit_request &permitRequest, const endpoint &requester);
     void deliverInFlight();
     int maxInWindow(bool fromAll) const;
 
--- a/Tests/PlatformAdapter/testRelayLog.cpp
+++ b/Tests/PlatformAdapter/testRelayLog.cpp
@@ -64,10 +64,10 @@
     }
     log_collector collector;
     collector.addLog(log);
-    const auto story = collector.timelineOf("left");
-    CHECK(story.outcomeSummary.find("given up by its caller") != std::string::npos);
-    CHECK(story.outcomeSummary.find("time_left_ms=") != std::string::npos);
-    CHECK(std::any_of(story.entries.begin(), story.entries.end(), [](const log_entry &entry) {
+    const auto timeline = collector.timelineOf("left");
+    CHECK(timeline.outcomeSummary.find("given up by its caller") != std::string::npos);
+    CHECK(timeline.outcomeSummary.find("time_left_ms=") != std::string::npos);
+    CHECK(std::any_of(timeline.entries.begin(), timeline.entries.end(), [](const log_entry &entry) {
         return entry.event == "try_ended" && entry.details.find("the client has gone") != std::string::npos;
     }));
 }
