--- a/Libraries/Base/identifier.h
+++ b/Libraries/Base/identifier.h
@@ -74,7 +74,7 @@
 using request_id = identifier<struct request_tag>;
 using edit_id = identifier<struct edit_tag>;
 
-/// The fencing token of the allotment, which assigns the instances of one data centre to groups. It increases with every coordinator that
+/// The fencing number of the allotment, which assigns the instances of one data centre to groups. It increases with every coordinator that
 /// takes over.
 using epoch = sequence<struct epoch_tag>;
 /// Increases each time the members, the model or the version of a group change.
